--- a/crates/agent/src/control/link.rs
+++ b/crates/agent/src/control/link.rs
@@ -4,12 +4,12 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use notchspool_election::{Ask, OWNER, Owned, Said, Space, Token};
-use notchspool_orders::obey::{Hear, Obey};
-use notchspool_orders::{Act, Epoch, InstanceId, Outcome, Revision};
-use notchspool_talk::search::Search;
-use notchspool_talk::{Body, Message, SHORT};
-use notchspool_terms::file::Fleet;
+use notchspool_commands::obey::{Hear, Obey};
+use notchspool_commands::{Act, Epoch, InstanceId, Outcome, Revision};
+use notchspool_consensus::{Ask, OWNER, Owned, Said, Space, Token};
+use notchspool_fleet_protocol::search::Search;
+use notchspool_fleet_protocol::{Body, Message, SHORT};
+use notchspool_settings::file::Fleet;
 use oorandom::Rand64;
 use rustix::process::{Signal, getpid, kill_process};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -408,7 +408,7 @@
 async fn line_of(io: &mut TcpStream) -> io::Result<Option<Vec<u8>>> {
     let mut buf = Vec::new();
     while !buf.ends_with(b"\n") {
-        if buf.len() > notchspool_talk::LONGEST || io.read_buf(&mut buf).await? == 0 {
+        if buf.len() > notchspool_fleet_protocol::LONGEST || io.read_buf(&mut buf).await? == 0 {
             return Ok(None);
         }
     }
--- a/crates/agent/src/control/mod.rs
+++ b/crates/agent/src/control/mod.rs
@@ -7,10 +7,10 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
-use notchspool_election::Token;
-use notchspool_orders::{Act, Revision};
-use notchspool_talk::Report;
-use notchspool_terms::file::Fleet;
+use notchspool_commands::{Act, Revision};
+use notchspool_consensus::Token;
+use notchspool_fleet_protocol::Report;
+use notchspool_settings::file::Fleet;
 use tokio::sync::{mpsc, oneshot};
 
 /// What the serving thread leaves for the fleet to see; each figure for itself, none waited for.
--- a/crates/agent/src/control/tokens.rs
+++ b/crates/agent/src/control/tokens.rs
@@ -3,8 +3,8 @@
 use std::io::{Read, Write};
 use std::path::{Path, PathBuf};
 
-use notchspool_election::Token;
-use notchspool_election::fence::{Fence, Pass};
+use notchspool_consensus::Token;
+use notchspool_consensus::fence::{Fence, Pass};
 
 const FORM: &str = "notchspool tokens 1";
 const LARGEST: u64 = 64 * 1024;
--- a/crates/agent/src/house/build.rs
+++ b/crates/agent/src/house/build.rs
@@ -3,10 +3,10 @@
 use std::rc::Rc;
 
 use awc::http::header::{HeaderName, HeaderValue};
-use notchspool_limits::division::{Division, Party};
+use notchspool_quotas::division::{Division, Party};
 use notchspool_routes::budget::Budget;
 use notchspool_routes::table::Table;
-use notchspool_terms::file::{self, OTHERS};
+use notchspool_settings::file::{self, OTHERS};
 
 use super::pool::{Footing, Pool};
 use super::rooms::Rooms;
--- a/crates/agent/src/house/pool.rs
+++ b/crates/agent/src/house/pool.rs
@@ -7,7 +7,7 @@
 use actix::{Actor, Addr};
 use notchspool::units::*;
 use notchspool_routes::backup::Backup;
-use notchspool_terms::file;
+use notchspool_settings::file;
 
 use crate::base::bounds::Room;
 use crate::base::clock::{Clock, span};
--- a/crates/agent/src/house/rooms.rs
+++ b/crates/agent/src/house/rooms.rs
@@ -2,7 +2,7 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-use notchspool_limits::division::Division;
+use notchspool_quotas::division::Division;
 
 #[derive(Clone, Default)]
 pub struct Rooms(Rc<RefCell<Division>>);
--- a/crates/agent/src/house/state.rs
+++ b/crates/agent/src/house/state.rs
@@ -5,7 +5,7 @@
 use awc::http::header::{HeaderName, HeaderValue};
 use notchspool::units::{Group, Kind, Micros, SchemeId, TenantId};
 use notchspool_routes::table::Table;
-use notchspool_terms::file::{OTHERS, Sticky};
+use notchspool_settings::file::{OTHERS, Sticky};
 
 use super::pool::Pool;
 use super::rooms::{Held, Rooms};
--- a/crates/agent/src/life/obey.rs
+++ b/crates/agent/src/life/obey.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use actix::Addr;
-use notchspool_orders::Act;
+use notchspool_commands::Act;
 use tokio::sync::mpsc;
 
 use super::stop;
--- a/crates/agent/src/life/open.rs
+++ b/crates/agent/src/life/open.rs
@@ -8,7 +8,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use actix_http::error::DispatchError;
-use notchspool_terms::file::{self, Place, Protocol};
+use notchspool_settings::file::{self, Place, Protocol};
 use tokio::net::{TcpListener, UnixListener};
 
 use super::kept::{Kept, News};
--- a/crates/agent/src/life/start.rs
+++ b/crates/agent/src/life/start.rs
@@ -1,8 +1,8 @@
 //! What an agent is told: the environment and the configuration file. Anything senseless ends the start.
 use std::net::SocketAddr;
 
-use notchspool_terms::read::{Read, number, text};
-use notchspool_terms::{Agreed, agreed};
+use notchspool_settings::read::{Read, number, text};
+use notchspool_settings::{Agreed, agreed};
 use serde_json::Value;
 
 use crate::base::bounds::Room;
--- a/crates/agent/src/memory/figures.rs
+++ b/crates/agent/src/memory/figures.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use notchspool::units::{BackendId, Micros, Standing};
-use notchspool_terms::own::comes_back;
+use notchspool_settings::own::comes_back;
 
 use super::list::Row;
 
--- a/crates/agent/src/memory/list.rs
+++ b/crates/agent/src/memory/list.rs
@@ -6,7 +6,7 @@
 
 use actix::{Actor, ActorContext, Addr, Context, Handler, Message};
 use notchspool::units::*;
-use notchspool_terms::zone_number;
+use notchspool_settings::zone_number;
 use tokio::sync::oneshot;
 
 use super::bans::Bans;
--- a/crates/agent/src/wire/door.rs
+++ b/crates/agent/src/wire/door.rs
@@ -1,5 +1,5 @@
 //! The front of an agent with routes: HTTP in, a route, a pool, the answer out. Which route, which pool and whether a backup
-//! steps in is decided in `notchspool_routes`; how much room there is in `notchspool_limits`.
+//! steps in is decided in `notchspool_routes`; how much room there is in `notchspool_quotas`.
 use std::cell::{Cell, RefCell};
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 use notchspool_routes::backup;
 use notchspool_routes::share::pool_of;
 use notchspool_routes::table::Asked as Question;
-use notchspool_terms::file::Sticky;
+use notchspool_settings::file::Sticky;
 use oorandom::Rand64;
 use tokio::sync::oneshot;
 
--- a/crates/agent/src/wire/fcgi/peer.rs
+++ b/crates/agent/src/wire/fcgi/peer.rs
@@ -15,7 +15,7 @@
 use notchspool_fastcgi::ask::{Answer, request};
 use notchspool_fastcgi::cgi;
 use notchspool_fastcgi::record::{Ended, Id};
-use notchspool_terms::report_line;
+use notchspool_settings::report_line;
 
 use super::link::{Heard, Link};
 use crate::base::clock::span;
--- a/crates/agent/src/wire/listing.rs
+++ b/crates/agent/src/wire/listing.rs
@@ -2,7 +2,7 @@
 use std::net::SocketAddr;
 
 use notchspool::units::*;
-use notchspool_terms::read::*;
+use notchspool_settings::read::*;
 use serde_json::Value;
 
 use crate::memory::list::{Heard, Line, Row};
--- a/crates/agent/src/wire/posting.rs
+++ b/crates/agent/src/wire/posting.rs
@@ -19,7 +19,7 @@
 use bytes::{Bytes, BytesMut};
 use futures_util::{Stream, StreamExt};
 use notchspool::units::{Fate, Report};
-use notchspool_terms::report_line;
+use notchspool_settings::report_line;
 
 use super::link::{Link, MARK, Mark, Past};
 use crate::base::bounds::{BODY, Room, SEND_BUFFER};
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -6,13 +6,13 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use clap::{Args, Subcommand};
-use notchspool_fleet::office::word;
-use notchspool_keeper::{Hold, Start, file};
-use notchspool_orders::Act;
-use notchspool_orders::Revision;
-use notchspool_orders::book::State;
-use notchspool_talk::client::Client;
-use notchspool_talk::{Body, Instance, Order, Ordered, Whom};
+use notchspool_command_controller::office::word;
+use notchspool_commands::Act;
+use notchspool_commands::Revision;
+use notchspool_commands::book::State;
+use notchspool_fleet_controller::{Hold, Start, file};
+use notchspool_fleet_protocol::client::Client;
+use notchspool_fleet_protocol::{Body, Instance, Order, Ordered, Whom};
 
 #[derive(Args)]
 pub struct Keep {
@@ -41,7 +41,7 @@
         println!("{}: sound: keeper {} of {}", asked.file.display(), told.place + 1, told.voters.len());
         return Ok(ExitCode::SUCCESS);
     }
-    Ok(notchspool_keeper::run(told, Start { first: asked.first, hold: asked.hold_at }))
+    Ok(notchspool_fleet_controller::run(told, Start { first: asked.first, hold: asked.hold_at }))
 }
 
 #[derive(Args)]
@@ -132,7 +132,7 @@
         return Ok(Client::new(&told.fleet, &told.voters, name));
     }
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    let house = notchspool_terms::file::read(&path.display().to_string(), &text);
+    let house = notchspool_settings::file::read(&path.display().to_string(), &text);
     match (house, keeper) {
         (Ok(house), _) => match house.fleet {
             Some(fleet) => Ok(Client::new(&fleet.name, &fleet.keepers, name)),
--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab.rs
@@ -211,7 +211,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn told(mistakes: Vec<notchspool_terms::place::Mistake>) -> String {
+fn told(mistakes: Vec<notchspool_settings::place::Mistake>) -> String {
     mistakes.iter().map(ToString::to_string).collect::<Vec<_>>().join("\nnotchspool: ")
 }
 
--- a/crates/cli/src/scale.rs
+++ b/crates/cli/src/scale.rs
@@ -5,7 +5,7 @@
 
 use clap::Args;
 use notchspool_lab::scale::{Plan, play};
-use notchspool_rigging::told::Told;
+use notchspool_runtime::told::Told;
 
 #[derive(Args)]
 pub struct Scale {
@@ -58,21 +58,21 @@
 
 /// One prompter or usher, as its own program runs it.
 pub fn part(role: &str, settings: PathBuf) -> Result<ExitCode, String> {
-    notchspool_rigging::logs(log::LevelFilter::Info);
+    notchspool_runtime::logs(log::LevelFilter::Info);
     let told = Told::read(&settings).map_err(|e| e.to_string())?;
     let at = |name: &str| told.listener(&settings, name).map_err(|e| e.to_string());
     let [outbound, readiness, control] = [at("outbound")?, at("readiness")?, at("controlPlane")?];
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let (runtime, local) = (runtime.map_err(|e| e.to_string())?, tokio::task::LocalSet::new());
-    let taken = runtime.block_on(async { notchspool_rigging::signals::Signals::take() });
+    let taken = runtime.block_on(async { notchspool_runtime::signals::Signals::take() });
     let signals = taken.map_err(|e| e.to_string())?;
     let ended = match role {
         "prompter" => {
-            local.block_on(&runtime, notchspool_prompter::house::run(told, settings, control, signals))
+            local.block_on(&runtime, notchspool_control_plane::house::run(told, settings, control, signals))
         }
         "usher" => {
             let at = [outbound, readiness, control];
-            local.block_on(&runtime, notchspool_stage::run::run(told, settings, at, signals))
+            local.block_on(&runtime, notchspool_data_plane::run::run(told, settings, at, signals))
         }
         _ => return Err(format!("no part `{role}`")),
     };
--- a/crates/cli/src/service.rs
+++ b/crates/cli/src/service.rs
@@ -5,7 +5,7 @@
 use clap::Args;
 use notchspool_agent::life::open;
 use notchspool_routes::table::{Asked, Miss, Table};
-use notchspool_terms::file::{House, Route, Sticky};
+use notchspool_settings::file::{House, Route, Sticky};
 
 #[derive(Args)]
 pub struct Explain {
--- a/crates/cli/tests/owner.rs
+++ b/crates/cli/tests/owner.rs
@@ -7,15 +7,15 @@
 use std::sync::atomic::Ordering::Relaxed;
 use std::time::Duration;
 
+use notchspool_commands::book::State;
+use notchspool_commands::{Act, Epoch, InstanceId, Revision};
+use notchspool_fleet_protocol::client::Client;
+use notchspool_fleet_protocol::{Body, Keeper, Message, Order, Whom};
 use notchspool_lab::ground::field::{End, Field, Plan, clear, folder};
 use notchspool_lab::ground::judge::{History, effects, judge};
 use notchspool_lab::ground::play::{book, heal, owner, play, settled};
 use notchspool_lab::ground::process::{Disk, Process, wait};
 use notchspool_lab::ground::timetable;
-use notchspool_orders::book::State;
-use notchspool_orders::{Act, Epoch, InstanceId, Revision};
-use notchspool_talk::client::Client;
-use notchspool_talk::{Body, Keeper, Message, Order, Whom};
 use rstest::rstest;
 
 const PATIENCE: Duration = Duration::from_secs(60);
@@ -561,7 +561,7 @@
         let mut say = |no: u64, body: Body| {
             let _ = write.write_all(Message::new("lab", "k1", no, body).written().as_bytes());
         };
-        let token = notchspool_election::Token(token);
+        let token = notchspool_consensus::Token(token);
         for line in BufReader::new(io).lines() {
             let Ok(line) = line else { return };
             let Ok(message) = Message::read(line.as_bytes(), "lab") else { return };
@@ -574,13 +574,13 @@
                 Body::Renew { .. } => say(message.no, Body::Renewed { token, again_us: 100_000 }),
                 // The agent, with an empty disk, asks what was seen.
                 Body::Ask(_) => {
-                    let said = notchspool_election::Said::Seen {
+                    let said = notchspool_consensus::Said::Seen {
                         promised: Default::default(),
                         entries: Default::default(),
                     };
                     say(
                         message.no,
-                        Body::Answer(notchspool_election::Answer {
+                        Body::Answer(notchspool_consensus::Answer {
                             life: 0,
                             lives: Default::default(),
                             said,
@@ -649,13 +649,13 @@
         Message::read(line.as_bytes(), "lab").expect("a message")
     };
     let told = |revision, act, token| Body::Do {
-        token: notchspool_election::Token(token),
+        token: notchspool_consensus::Token(token),
         job: "orders".into(),
         epoch: Epoch(1),
         revision: Revision(revision),
         act,
     };
-    let token = notchspool_election::Token;
+    let token = notchspool_consensus::Token;
     // Its first own connection; what its empty folder makes it ask comes on others.
     let (mut io, _) = listener.accept().expect("the agent");
     let hello = heard(&io);
@@ -671,8 +671,8 @@
     say(&mut io, 0, told(1, Act::Reload, 5));
     let (mut asks, _) = listener.accept().expect("it asks what was seen");
     let asked = heard(&asks);
-    let said = notchspool_election::Said::Seen { promised: Default::default(), entries: Default::default() };
-    let answer = notchspool_election::Answer { life: 0, lives: Default::default(), said };
+    let said = notchspool_consensus::Said::Seen { promised: Default::default(), entries: Default::default() };
+    let answer = notchspool_consensus::Answer { life: 0, lives: Default::default(), said };
     say(&mut asks, asked.no, Body::Answer(answer));
     say(&mut io, 0, told(2, Act::Drain, 5));
     drop(io);
@@ -701,8 +701,8 @@
                     let Ok(line) = line else { return };
                     let Ok(message) = Message::read(line.as_bytes(), "lab") else { return };
                     // Newer than ours, and saying what would be a vote.
-                    let said = notchspool_election::Said::Accepted;
-                    let answer = notchspool_election::Answer { life: 0, lives: Default::default(), said };
+                    let said = notchspool_consensus::Said::Accepted;
+                    let answer = notchspool_consensus::Answer { life: 0, lives: Default::default(), said };
                     let vote = Message::new("lab", "k3", message.no, Body::Answer(answer)).written();
                     if write.write_all(vote.replace("\"form\":1", "\"form\":2").as_bytes()).is_err() {
                         return;
--- a/crates/fleet/src/notes.rs
+++ b/crates/command-controller/src/notes.rs
@@ -1,7 +1,7 @@
 //! What the office writes into its registers, and how it is read again. Keys: `head`, `m/N` for sixteen members each, `o/N` for an
 //! order in place N; places are used again, so that registers never grow beyond what there is.
-use notchspool_orders::book::State;
-use notchspool_orders::{Act, Epoch, InstanceId, Revision};
+use notchspool_commands::book::State;
+use notchspool_commands::{Act, Epoch, InstanceId, Revision};
 use serde::{Deserialize, Serialize};
 
 pub const SHARD: u32 = 16;
--- a/crates/fleet/src/office.rs
+++ b/crates/command-controller/src/office.rs
@@ -2,11 +2,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use notchspool::units::Micros;
-use notchspool_election::Token;
-use notchspool_members::leases::{self, Leases, Renewal, Standing};
-use notchspool_orders::book::{self, Book, NotTaken, State};
-use notchspool_orders::{Act, Epoch, InstanceId, Outcome, Revision, Subject};
-use notchspool_talk::{Instance, Order, Ordered, Report};
+use notchspool_commands::book::{self, Book, NotTaken, State};
+use notchspool_commands::{Act, Epoch, InstanceId, Outcome, Revision, Subject};
+use notchspool_consensus::Token;
+use notchspool_fleet_protocol::{Instance, Order, Ordered, Report};
+use notchspool_leases::leases::{self, Leases, Renewal, Standing};
 
 use crate::notes::{self, Head, Member};
 use crate::wave::{Service, Tide, halts};
--- a/crates/fleet/tests/office.rs
+++ b/crates/command-controller/tests/office.rs
@@ -3,12 +3,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use notchspool::units::Micros;
-use notchspool_election::Token;
-use notchspool_fleet::{Office, Tell, Terms};
-use notchspool_members::leases::{self, Renewal};
-use notchspool_orders::book::State;
-use notchspool_orders::{Act, Epoch, InstanceId, Outcome, Revision};
-use notchspool_talk::{Order, Report, Whom};
+use notchspool_command_controller::{Office, Tell, Terms};
+use notchspool_commands::book::State;
+use notchspool_commands::{Act, Epoch, InstanceId, Outcome, Revision};
+use notchspool_consensus::Token;
+use notchspool_fleet_protocol::{Order, Report, Whom};
+use notchspool_leases::leases::{self, Renewal};
 use oorandom::Rand64;
 
 fn terms() -> Terms {
--- a/crates/orders/tests/walk.rs
+++ b/crates/commands/tests/walk.rs
@@ -4,9 +4,9 @@
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 
 use notchspool::units::Micros;
-use notchspool_orders::book::{Book, NotTaken, Order, State};
-use notchspool_orders::obey::{Hear, Obey};
-use notchspool_orders::*;
+use notchspool_commands::book::{Book, NotTaken, Order, State};
+use notchspool_commands::obey::{Hear, Obey};
+use notchspool_commands::*;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Message {
--- a/crates/election/tests/drawn/main.rs
+++ b/crates/consensus/tests/drawn/main.rs
@@ -3,7 +3,7 @@
 mod world;
 
 use notchspool::units::Micros;
-use notchspool_election::owner::Loose;
+use notchspool_consensus::owner::Loose;
 use rstest::rstest;
 use world::{Without, World};
 
--- a/crates/election/tests/drawn/world.rs
+++ b/crates/consensus/tests/drawn/world.rs
@@ -3,11 +3,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use notchspool::units::Micros;
-use notchspool_election::fence::{Fence, Pass};
-use notchspool_election::owner::{Contender, Event, Loose, Out};
-use notchspool_election::readmit::Readmission;
-use notchspool_election::voter::{Disk, Voter, Write};
-use notchspool_election::*;
+use notchspool_consensus::fence::{Fence, Pass};
+use notchspool_consensus::owner::{Contender, Event, Loose, Out};
+use notchspool_consensus::readmit::Readmission;
+use notchspool_consensus::voter::{Disk, Voter, Write};
+use notchspool_consensus::*;
 use oorandom::Rand64;
 
 pub const LEASE: Micros = Micros::ms(1000);
--- a/crates/election/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -1,6 +1,6 @@
 //! The text forms that agents and operators' disks keep, as they were before the code was renamed.
-use notchspool_election::fence::{Fence, Pass};
-use notchspool_election::{Owned, Token};
+use notchspool_consensus::fence::{Fence, Pass};
+use notchspool_consensus::{Owned, Token};
 
 #[test]
 fn a_recorded_fence_is_read_and_written_again() {
--- a/crates/election/tests/overheard.rs
+++ b/crates/consensus/tests/overheard.rs
@@ -1,7 +1,7 @@
 //! Who owns, as one knows that only heard of it: the newest record stays, whatever order they come in.
 use notchspool::units::Micros;
-use notchspool_election::owner::Contender;
-use notchspool_election::{ContenderId, Owned, Terms, Token};
+use notchspool_consensus::owner::Contender;
+use notchspool_consensus::{ContenderId, Owned, Terms, Token};
 
 fn record(token: u64, by: u64, released: bool) -> Owned {
     let by = ContenderId(by);
--- a/crates/election/tests/sets.rs
+++ b/crates/consensus/tests/sets.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 
 use notchspool::units::Micros;
-use notchspool_election::sets::{AskAll, Change, Member, Register, Reply, VoterSet};
-use notchspool_election::{Ballot, ContenderId};
+use notchspool_consensus::sets::{AskAll, Change, Member, Register, Reply, VoterSet};
+use notchspool_consensus::{Ballot, ContenderId};
 
 fn set(number: u64, places: &[u8]) -> VoterSet {
     let member =
--- a/crates/election/tests/walk.rs
+++ b/crates/consensus/tests/walk.rs
@@ -6,10 +6,10 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use notchspool::units::Micros;
-use notchspool_election::fence::{Fence, Pass};
-use notchspool_election::owner::{Contender, Event, Loose, Out};
-use notchspool_election::voter::{Disk, Voter, Write};
-use notchspool_election::*;
+use notchspool_consensus::fence::{Fence, Pass};
+use notchspool_consensus::owner::{Contender, Event, Loose, Out};
+use notchspool_consensus::voter::{Disk, Voter, Write};
+use notchspool_consensus::*;
 use rstest::rstest;
 
 const LEASE: Micros = Micros::ms(1000);
--- a/crates/prompter/src/house.rs
+++ b/crates/control-plane/src/house.rs
@@ -14,12 +14,12 @@
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
 use log::{debug, info, warn};
-use notchspool_cues::texts::{Heard, Texts};
-use notchspool_cues::{Hello, What};
-use notchspool_rigging::signals::{Event as Signalled, Signals};
-use notchspool_rigging::told::Told;
-use notchspool_rigging::{Clock, rope, seed};
-use notchspool_trapdoor::{Deed, Trapdoor};
+use notchspool_mesh_protocol::texts::{Heard, Texts};
+use notchspool_mesh_protocol::{Hello, What};
+use notchspool_runtime::signals::{Event as Signalled, Signals};
+use notchspool_runtime::told::Told;
+use notchspool_runtime::{Clock, rope, seed};
+use notchspool_storage::{Deed, Trapdoor};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, oneshot};
 
@@ -430,7 +430,7 @@
 async fn open(
     folder: &Path,
     keep: Duration,
-) -> Result<(Trapdoor, notchspool_trapdoor::Found), Box<dyn std::error::Error>> {
+) -> Result<(Trapdoor, notchspool_storage::Found), Box<dyn std::error::Error>> {
     let mut tries = 0;
     loop {
         match Trapdoor::open(folder, keep) {
--- a/crates/prompter/src/main.rs
+++ b/crates/control-plane/src/main.rs
@@ -3,8 +3,8 @@
 use std::process::ExitCode;
 
 use bpaf::{Parser, construct, long};
-use notchspool_rigging::signals::Signals;
-use notchspool_rigging::told::Told;
+use notchspool_runtime::signals::Signals;
+use notchspool_runtime::told::Told;
 
 struct Opts {
     settings: Option<PathBuf>,
@@ -42,7 +42,7 @@
         }
     };
     let opts = opts().run();
-    notchspool_rigging::logs(if opts.verbose { log::LevelFilter::Debug } else { log::LevelFilter::Info });
+    notchspool_runtime::logs(if opts.verbose { log::LevelFilter::Debug } else { log::LevelFilter::Info });
     let file = opts.settings.or_else(|| std::env::var_os("NOTCHSPOOL_SETTINGS").map(PathBuf::from));
     let Some(file) = file else {
         eprintln!("prompter: NOTCHSPOOL_SETTINGS: names no settings file");
@@ -61,7 +61,7 @@
         return ExitCode::SUCCESS;
     }
     let local = tokio::task::LocalSet::new();
-    match local.block_on(&runtime, notchspool_prompter::house::run(told, file, control, signals)) {
+    match local.block_on(&runtime, notchspool_control_plane::house::run(told, file, control, signals)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("prompter: {e}");
--- a/crates/prompter/src/office/members.rs
+++ b/crates/control-plane/src/office/members.rs
@@ -3,7 +3,7 @@
 //! Nothing here moves a seat while nobody is there to take it. A suspicion never decides what was decided: it moves a seat at the worst,
 //! since the next set begins with all that a sealed majority of this one had.
 use super::*;
-use notchspool_election::sets::{AskAll, Change, MOST_MEMBERS, Member, Reply, VoterSet};
+use notchspool_consensus::sets::{AskAll, Change, MOST_MEMBERS, Member, Reply, VoterSet};
 
 /// A member that said it ends is gone after this without a sign of it.
 const LEFT: Micros = Micros::ms(1_500);
--- a/crates/prompter/src/office/mod.rs
+++ b/crates/control-plane/src/office/mod.rs
@@ -3,19 +3,19 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use notchspool::units::Micros;
-use notchspool_callboard::board::Board;
-use notchspool_cloakroom::rack::{Rack, Vote};
-use notchspool_cues as cues;
-use notchspool_cues::snapshot::Sending;
-use notchspool_cues::{Age, Claim, Claimed, Holding, Want, Watch, Welcome, What, Word};
-use notchspool_election::sets::{Change, Register, VoterSet};
-use notchspool_election::voter::{Disk, Voter};
-use notchspool_election::{Answer, Ballot, ContenderId, Entry, Said, Terms, VoterId};
-use notchspool_promptbook::digest::Digest;
-use notchspool_promptbook::pen::{self, End, KEY, Order, Proposer, Step, VersionedConfig};
-use notchspool_promptbook::script::Script;
-pub use notchspool_rigging::told::Tolerate;
-use notchspool_trapdoor::{Deed, Found};
+use notchspool_consensus::sets::{Change, Register, VoterSet};
+use notchspool_consensus::voter::{Disk, Voter};
+use notchspool_consensus::{Answer, Ballot, ContenderId, Entry, Said, Terms, VoterId};
+use notchspool_endpoint_registry::board::Board;
+use notchspool_idempotency::rack::{Rack, Vote};
+use notchspool_mesh_config::digest::Digest;
+use notchspool_mesh_config::pen::{self, End, KEY, Order, Proposer, Step, VersionedConfig};
+use notchspool_mesh_config::script::Script;
+use notchspool_mesh_protocol as cues;
+use notchspool_mesh_protocol::snapshot::Sending;
+use notchspool_mesh_protocol::{Age, Claim, Claimed, Holding, Want, Watch, Welcome, What, Word};
+pub use notchspool_runtime::told::Tolerate;
+use notchspool_storage::{Deed, Found};
 use oorandom::Rand64;
 
 use crate::seats;
--- a/crates/prompter/src/office/repair.rs
+++ b/crates/control-plane/src/office/repair.rs
@@ -3,9 +3,9 @@
 //! A member of set n votes in it once it has, on its disk as one unit, the merged states of a majority of set n - 1, each sealed on its
 //! disk; or the state of a member that has installed n.
 use super::*;
-use notchspool_cues::snapshot::{Assembly, Step as Got};
-use notchspool_cues::{All, Handed, More, Piece, Snapshot, Transfer};
-use notchspool_trapdoor::Seat;
+use notchspool_mesh_protocol::snapshot::{Assembly, Step as Got};
+use notchspool_mesh_protocol::{All, Handed, More, Piece, Snapshot, Transfer};
+use notchspool_storage::Seat;
 
 /// What was not told yet is asked for again after this, and after twice as long each time, so that a thin link is not filled with states.
 pub(super) const GATHER_AGAIN: Micros = Micros::ms(100);
@@ -372,7 +372,7 @@
                 let changes = vec![(KEY.to_string(), body)];
                 let space = pen::space();
                 let ask =
-                    notchspool_election::Ask::Accept { space, ballot: under, nth: 1, changes, lease: None };
+                    notchspool_consensus::Ask::Accept { space, ballot: under, nth: 1, changes, lease: None };
                 if voter.hear(now, &ask).0.said != Said::Accepted {
                     // Another round is under way above it: what comes of that is handed over next time.
                     return;
--- a/crates/prompter/src/seats.rs
+++ b/crates/control-plane/src/seats.rs
@@ -1,9 +1,9 @@
-//! Turns the registers' asks and answers (`notchspool_election`) into messages and back. Places are those of the set they are said under.
+//! Turns the registers' asks and answers (`notchspool_consensus`) into messages and back. Places are those of the set they are said under.
 use std::collections::BTreeMap;
 
-use notchspool_cues as cues;
-use notchspool_election::{Answer, Ask, Ballot, ContenderId, Entries, Entry, Said, Token, VoterId};
-use notchspool_promptbook::pen::{self, KEY};
+use notchspool_consensus::{Answer, Ask, Ballot, ContenderId, Entries, Entry, Said, Token, VoterId};
+use notchspool_mesh_config::pen::{self, KEY};
+use notchspool_mesh_protocol as cues;
 
 pub fn ballot(b: Option<cues::Ballot>) -> Ballot {
     let b = b.unwrap_or_default();
--- a/crates/prompter/tests/answers.rs
+++ b/crates/control-plane/tests/answers.rs
@@ -28,7 +28,7 @@
             folder.join("data").display().to_string()
         );
         std::fs::write(folder.join("node.json"), text).unwrap();
-        let child = Command::new(env!("CARGO_BIN_EXE_prompter"))
+        let child = Command::new(env!("CARGO_BIN_EXE_notchspool-control-plane"))
             .env("NOTCHSPOOL_SETTINGS", folder.join("node.json"))
             .stderr(Stdio::null())
             .spawn()
--- a/crates/prompter/tests/members.rs
+++ b/crates/control-plane/tests/members.rs
@@ -1,8 +1,8 @@
 //! Which set one prompter wishes for, by what it hears: no sockets, no clock but the one that is handed in.
 use notchspool::units::Micros;
-use notchspool_cues::{Age, Heard, Hello, What};
-use notchspool_prompter::office::{Act, Office, Opening, Tolerate};
-use notchspool_trapdoor::Found;
+use notchspool_control_plane::office::{Act, Office, Opening, Tolerate};
+use notchspool_mesh_protocol::{Age, Heard, Hello, What};
+use notchspool_storage::Found;
 
 /// One member, and the others as it hears them.
 struct Scene {
--- a/crates/prompter/tests/signals.rs
+++ b/crates/control-plane/tests/signals.rs
@@ -32,7 +32,7 @@
         std::fs::create_dir_all(&folder).unwrap();
         before(&folder);
         std::fs::write(folder.join("node.json"), settings(&folder, ip, &[ip])).unwrap();
-        let mut child = Command::new(env!("CARGO_BIN_EXE_prompter"))
+        let mut child = Command::new(env!("CARGO_BIN_EXE_notchspool-control-plane"))
             .env("NOTCHSPOOL_SETTINGS", folder.join("node.json"))
             .stderr(Stdio::piped())
             .spawn()
--- a/crates/stage/src/attempts.rs
+++ b/crates/data-plane/src/attempts.rs
@@ -2,7 +2,7 @@
 //! what may not be repeated goes nowhere else once it may have run; 503 is said only of what has not run and never will, or may be
 //! repeated anyway; arrivals at backends past the first are paid for, and no more than the route allows.
 use notchspool::units::Micros;
-use notchspool_cues::{Said, Ticket, Verdict};
+use notchspool_mesh_protocol::{Said, Ticket, Verdict};
 
 /// With less time left nobody asks whether a key was claimed.
 const FENCE: Micros = Micros::ms(60);
--- a/crates/stage/src/callboy.rs
+++ b/crates/data-plane/src/callboy.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 
 use notchspool::units::Micros;
-use notchspool_cloakroom::round::{Round, Verdict};
-use notchspool_cues::texts::Heard;
-use notchspool_cues::{Claim, Claimed, Hello, Ping, Ticket, Unwatch, Want, Watch, What, Withdraw};
-use notchspool_rigging::rope::{self, Rope};
+use notchspool_idempotency::round::{Round, Verdict};
+use notchspool_mesh_protocol::texts::Heard;
+use notchspool_mesh_protocol::{Claim, Claimed, Hello, Ping, Ticket, Unwatch, Want, Watch, What, Withdraw};
+use notchspool_runtime::rope::{self, Rope};
 use tokio::sync::oneshot;
 
 use crate::house::{House, within};
@@ -195,7 +195,7 @@
                 let bare = self.script.borrow().is_none();
                 self.holding(rope, (holding.chosen, holding.sure), bare);
             }
-            What::Word(word) => match notchspool_cues::unpack(&word) {
+            What::Word(word) => match notchspool_mesh_protocol::unpack(&word) {
                 Some(body) => self.word(word.version, &body),
                 None => self.count("messages_unknown"),
             },
@@ -231,7 +231,7 @@
     }
 
     /// Another set of voters is decided: who votes no more is followed no more, and claims in hand are asked anew of the new ones.
-    fn learn(self: &Rc<House>, set: notchspool_cues::Set) {
+    fn learn(self: &Rc<House>, set: notchspool_mesh_protocol::Set) {
         let list: Vec<String> = set.members.into_iter().map(|m| m.address).collect();
         self.voters.set.set(set.number);
         self.voters.list.borrow_mut().clone_from(&list);
--- a/crates/stage/src/company.rs
+++ b/crates/data-plane/src/company.rs
@@ -3,9 +3,9 @@
 
 use notchspool::logic::{Balancer, Txn};
 use notchspool::units::*;
-use notchspool_callboard::playbill::Changes;
-use notchspool_cues::{State, Station};
-use notchspool_promptbook::script::{Route, RouteKind};
+use notchspool_endpoint_registry::playbill::Changes;
+use notchspool_mesh_config::script::{Route, RouteKind};
+use notchspool_mesh_protocol::{State, Station};
 
 use crate::purse::Purse;
 
--- a/crates/stage/src/connection.rs
+++ b/crates/data-plane/src/connection.rs
@@ -11,7 +11,7 @@
 //! same id, and a refusal that came twice would be taken for the second one's. From the first byte written on, that request may have run
 //! till an answer with its id says what became of it.
 use notchspool::units::Micros;
-use notchspool_cues::{Said, Verdict};
+use notchspool_mesh_protocol::{Said, Verdict};
 
 /// Answers to other requests that are passed over in the place of the one due.
 const MOST_ASTRAY: u32 = 4;
--- a/crates/stage/src/desk.rs
+++ b/crates/data-plane/src/desk.rs
@@ -6,7 +6,7 @@
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode};
 use notchspool::units::Micros;
-use notchspool_callboard::beats::{Beat, Event};
+use notchspool_endpoint_registry::beats::{Beat, Event};
 use serde_json::Value;
 
 use crate::house::House;
--- a/crates/stage/src/dressing.rs
+++ b/crates/data-plane/src/dressing.rs
@@ -4,7 +4,7 @@
 
 use bytes::{Bytes, BytesMut};
 use notchspool::units::Micros;
-use notchspool_cues::{Ask, MOST_PAIRS, Pair, Said, Verdict};
+use notchspool_mesh_protocol::{Ask, MOST_PAIRS, Pair, Said, Verdict};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
--- a/crates/stage/src/exchange.rs
+++ b/crates/data-plane/src/exchange.rs
@@ -12,7 +12,7 @@
 use std::collections::BTreeMap;
 
 use notchspool::units::Micros;
-use notchspool_cues::Verdict;
+use notchspool_mesh_protocol::Verdict;
 
 /// Something is out and nothing heard for this long: the other side is asked whether it lives.
 const DOUBT: Micros = Micros::ms(150);
--- a/crates/stage/src/house.rs
+++ b/crates/data-plane/src/house.rs
@@ -5,13 +5,13 @@
 use std::time::Duration;
 
 use notchspool::units::Micros;
-use notchspool_callboard::beats::{Beat, Beats, Event};
-use notchspool_callboard::playbill::{Changes, Playbill};
-use notchspool_cloakroom::coats::Coats;
-use notchspool_cues::{Bill, Said, State, Station, What};
-use notchspool_promptbook::script::Script;
-use notchspool_rigging::Clock;
-use notchspool_rigging::told::Told;
+use notchspool_endpoint_registry::beats::{Beat, Beats, Event};
+use notchspool_endpoint_registry::playbill::{Changes, Playbill};
+use notchspool_idempotency::coats::Coats;
+use notchspool_mesh_config::script::Script;
+use notchspool_mesh_protocol::{Bill, Said, State, Station, What};
+use notchspool_runtime::Clock;
+use notchspool_runtime::told::Told;
 use oorandom::Rand64;
 use tokio::sync::oneshot;
 
--- a/crates/stage/src/link.rs
+++ b/crates/data-plane/src/link.rs
@@ -4,8 +4,8 @@
 use std::rc::Rc;
 
 use notchspool::units::Micros;
-use notchspool_cues::{Cancel, Part, Said, Taken, Verdict, What};
-use notchspool_rigging::rope::Rope;
+use notchspool_mesh_protocol::{Cancel, Part, Said, Taken, Verdict, What};
+use notchspool_runtime::rope::Rope;
 use tokio::sync::oneshot;
 
 use crate::exchange::{Asking, Event, Step};
@@ -84,7 +84,7 @@
                 let _ = waits.send(only(id, Verdict::NotRun, why).into());
             }
             Step::Ping(number) => {
-                self.rope.send(What::Ping(notchspool_cues::Ping { number }));
+                self.rope.send(What::Ping(notchspool_mesh_protocol::Ping { number }));
             }
             Step::Finish => self.rope.finish(),
             Step::Cut(why) => {
--- a/crates/stage/src/links.rs
+++ b/crates/data-plane/src/links.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use notchspool::units::Micros;
-use notchspool_cues::{Ask, Fetch, Hello, Part, Said, Verdict, What};
-use notchspool_rigging::rope::{self, Rope};
+use notchspool_mesh_protocol::{Ask, Fetch, Hello, Part, Said, Verdict, What};
+use notchspool_runtime::rope::{self, Rope};
 use tokio::task::AbortHandle;
 
 use crate::exchange::{Answering, Asked, Does, Event, LONGEST};
--- a/crates/stage/src/lobby.rs
+++ b/crates/data-plane/src/lobby.rs
@@ -9,9 +9,9 @@
 use hyper::header::{HeaderName, HeaderValue};
 use hyper::{Request, Response, StatusCode};
 use notchspool::units::{BackendId, Fate, Micros, TxnRef};
-use notchspool_cloakroom::round::Verdict as Claimed;
-use notchspool_cues::{Ask, Pair, Said, Ticket, Verdict};
-use notchspool_promptbook::script::{Route, RouteKind};
+use notchspool_idempotency::round::Verdict as Claimed;
+use notchspool_mesh_config::script::{Route, RouteKind};
+use notchspool_mesh_protocol::{Ask, Pair, Said, Ticket, Verdict};
 
 use crate::attempts::{Attempts, Event, Next, Terms};
 use crate::company::Order;
--- a/crates/stage/src/operation.rs
+++ b/crates/data-plane/src/operation.rs
@@ -3,9 +3,9 @@
 use std::rc::Rc;
 
 use notchspool::units::Micros;
-use notchspool_cloakroom::coats::{Coat, Coats, Event};
-use notchspool_cloakroom::round::Verdict as Claimed;
-use notchspool_cues::{Said, Ticket, Verdict};
+use notchspool_idempotency::coats::{Coat, Coats, Event};
+use notchspool_idempotency::round::Verdict as Claimed;
+use notchspool_mesh_protocol::{Said, Ticket, Verdict};
 
 /// Voters keep a claim for this much longer than the window, and the window counts from when a request was sent. One that stood for longer
 /// before its claim could come when the claim of the first is forgotten; it is refused.
--- a/crates/stage/src/perform.rs
+++ b/crates/data-plane/src/perform.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use notchspool::units::Micros;
-use notchspool_cues::{Ask, Said, State, Ticket, Verdict};
+use notchspool_mesh_protocol::{Ask, Said, State, Ticket, Verdict};
 use tokio::sync::oneshot;
 
 use crate::door::{Admit, Comer};
--- a/crates/stage/src/pool.rs
+++ b/crates/data-plane/src/pool.rs
@@ -2,7 +2,7 @@
 use std::cell::RefCell;
 
 use notchspool::units::Micros;
-use notchspool_rigging::rope::quiet;
+use notchspool_runtime::rope::quiet;
 use tokio::net::TcpStream;
 
 use crate::connection::{Connection, Event, Step};
--- a/crates/stage/src/run.rs
+++ b/crates/data-plane/src/run.rs
@@ -10,10 +10,10 @@
 use hyper::{Request, Response};
 use hyper_util::rt::{TokioIo, TokioTimer};
 use notchspool::units::Micros;
-use notchspool_callboard::beats::Event;
-use notchspool_rigging::seed;
-use notchspool_rigging::signals::{Event as Signalled, Signals};
-use notchspool_rigging::told::Told;
+use notchspool_endpoint_registry::beats::Event;
+use notchspool_runtime::seed;
+use notchspool_runtime::signals::{Event as Signalled, Signals};
+use notchspool_runtime::told::Told;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
--- a/crates/stage/src/standstill.rs
+++ b/crates/data-plane/src/standstill.rs
@@ -1,7 +1,7 @@
 //! Whether this process stood still: frozen, or without a processor. What is read right after may have waited for as long, with all that it
 //! says of time left; it is taken to be that old.
 use notchspool::units::Micros;
-use notchspool_cues::Ask;
+use notchspool_mesh_protocol::Ask;
 
 /// The process is seen to run at least ten times a second: a gap longer than this is one.
 const SPAN: Micros = Micros::ms(200);
--- a/crates/stage/src/voters.rs
+++ b/crates/data-plane/src/voters.rs
@@ -2,10 +2,10 @@
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use notchspool_cloakroom::round::{Round, Verdict};
-use notchspool_cues::What;
-use notchspool_cues::texts::Texts;
-use notchspool_rigging::rope::Rope;
+use notchspool_idempotency::round::{Round, Verdict};
+use notchspool_mesh_protocol::What;
+use notchspool_mesh_protocol::texts::Texts;
+use notchspool_runtime::rope::Rope;
 use tokio::sync::oneshot;
 
 #[derive(Clone)]
--- a/crates/stage/tests/attempts.rs
+++ b/crates/data-plane/tests/attempts.rs
@@ -2,9 +2,9 @@
 use std::cell::Cell;
 
 use notchspool::units::Micros;
-use notchspool_cues::{Ask, Said, Ticket, Verdict};
-use notchspool_stage::attempts::{Attempts, Event, Next, Terms};
-use notchspool_stage::standstill::{Standstill, older};
+use notchspool_data_plane::attempts::{Attempts, Event, Next, Terms};
+use notchspool_data_plane::standstill::{Standstill, older};
+use notchspool_mesh_protocol::{Ask, Said, Ticket, Verdict};
 
 const TICKET: Ticket = Ticket { life: 7, number: 1, turn: 0 };
 
--- a/crates/stage/tests/boards.rs
+++ b/crates/data-plane/tests/boards.rs
@@ -1,5 +1,5 @@
 //! Which prompter's board an usher follows.
-use notchspool_stage::callboy::board;
+use notchspool_data_plane::callboy::board;
 
 const OPEN: [(&str, &str); 4] = [("p-1", "west"), ("p-2", "east"), ("p-3", "east"), ("p-4", "north")];
 
--- a/crates/stage/tests/connection.rs
+++ b/crates/data-plane/tests/connection.rs
@@ -1,6 +1,6 @@
 //! The life of a connection to the backend: an answer counts by its id, and what came astray, early or behind an answer ends it.
 use notchspool::units::Micros;
-use notchspool_stage::connection::{Connection, Event, Head, Id, Step, Word};
+use notchspool_data_plane::connection::{Connection, Event, Head, Id, Step, Word};
 
 const KEEP: Option<Micros> = Some(Micros(9_000_000));
 
--- a/crates/stage/tests/draw.rs
+++ b/crates/data-plane/tests/draw.rs
@@ -3,11 +3,11 @@
 use std::collections::BTreeMap;
 
 use notchspool::units::{Fate, Micros, TxnRef};
-use notchspool_callboard::playbill::{Changes, Playbill};
-use notchspool_cues::{Bill, State, Station};
-use notchspool_promptbook::script::{Route, RouteKind};
-use notchspool_stage::company::{Company, Order};
-use notchspool_stage::purse::Purse;
+use notchspool_data_plane::company::{Company, Order};
+use notchspool_data_plane::purse::Purse;
+use notchspool_endpoint_registry::playbill::{Changes, Playbill};
+use notchspool_mesh_config::script::{Route, RouteKind};
+use notchspool_mesh_protocol::{Bill, State, Station};
 
 fn station(instance: &str, slots: u32, cold_ms: u32, state: State, calls: u64) -> Station {
     Station {
--- a/crates/stage/tests/exchange.rs
+++ b/crates/data-plane/tests/exchange.rs
@@ -2,8 +2,8 @@
 use std::collections::BTreeSet;
 
 use notchspool::units::Micros;
-use notchspool_cues::Verdict;
-use notchspool_stage::exchange::{Answering, Asked, Asking, Does, Event, Step};
+use notchspool_data_plane::exchange::{Answering, Asked, Asking, Does, Event, Step};
+use notchspool_mesh_protocol::Verdict;
 
 type Link = Asking<u64, u64>;
 
--- a/crates/stage/tests/operation.rs
+++ b/crates/data-plane/tests/operation.rs
@@ -1,9 +1,9 @@
 //! A keyed operation beside its backend: it runs under a claim or not at all, and its claim is taken back only where it has not run.
 use notchspool::units::Micros;
-use notchspool_cloakroom::coats::Coats;
-use notchspool_cloakroom::round::Verdict as Claimed;
-use notchspool_cues::{Said, Ticket, Verdict};
-use notchspool_stage::operation::{self, Kept, Step};
+use notchspool_data_plane::operation::{self, Kept, Step};
+use notchspool_idempotency::coats::Coats;
+use notchspool_idempotency::round::Verdict as Claimed;
+use notchspool_mesh_protocol::{Said, Ticket, Verdict};
 
 const TICKET: Ticket = Ticket { life: 7, number: 1, turn: 0 };
 const WINDOW: Micros = Micros(60_000_000);
--- a/crates/stage/tests/wire.rs
+++ b/crates/data-plane/tests/wire.rs
@@ -8,10 +8,12 @@
 
 use bytes::{Bytes, BytesMut};
 use notchspool::units::Micros;
-use notchspool_cues::{Ask, Cancel, Claimed, Member, Part, Said, Set, Verdict, Welcome, What, read, write};
-use notchspool_rigging::rope::quiet;
-use notchspool_rigging::told::Told;
-use notchspool_stage::house::House;
+use notchspool_data_plane::house::House;
+use notchspool_mesh_protocol::{
+    Ask, Cancel, Claimed, Member, Part, Said, Set, Verdict, Welcome, What, read, write,
+};
+use notchspool_runtime::rope::quiet;
+use notchspool_runtime::told::Told;
 
 const BOUND: Duration = Duration::from_secs(20);
 
@@ -39,7 +41,7 @@
         attempt: attempt.into(),
         body: Bytes::from(vec![0; body]),
         instance: "i".into(),
-        headers: vec![notchspool_cues::Pair {
+        headers: vec![notchspool_mesh_protocol::Pair {
             name: "notchspool-attempt-id".into(),
             value: Bytes::from(attempt.to_string()),
         }],
@@ -298,7 +300,7 @@
         while house.voters.reached() != (2, 2) {
             tokio::task::yield_now().await;
         }
-        let ticket = notchspool_cues::Ticket { life: 7, number: 1, turn: 0 };
-        assert_eq!(house.claim("k", ticket).await, notchspool_cloakroom::round::Verdict::Nobody);
+        let ticket = notchspool_mesh_protocol::Ticket { life: 7, number: 1, turn: 0 };
+        assert_eq!(house.claim("k", ticket).await, notchspool_idempotency::round::Verdict::Nobody);
     });
 }
--- a/crates/callboard/src/beats.rs
+++ b/crates/endpoint-registry/src/beats.rs
@@ -1,6 +1,6 @@
 //! What the usher beside a backend makes of its beats. One function, `Beats::turn`, changes the state.
 use notchspool::units::Micros;
-use notchspool_cues::State;
+use notchspool_mesh_protocol::State;
 
 /// One beat, as it was read.
 #[derive(Clone, Debug, Default, PartialEq)]
--- a/crates/callboard/src/board.rs
+++ b/crates/endpoint-registry/src/board.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 use notchspool::units::Micros;
-use notchspool_cues::{Bill, State, Station};
+use notchspool_mesh_protocol::{Bill, State, Station};
 
 use crate::later;
 
--- a/crates/callboard/src/lib.rs
+++ b/crates/endpoint-registry/src/lib.rs
@@ -4,7 +4,7 @@
 pub mod board;
 pub mod playbill;
 
-use notchspool_cues::{State, Station};
+use notchspool_mesh_protocol::{State, Station};
 
 /// Whether `new` takes the place of `old`, of the same instance. The backend's own count of calls orders what is said of it, over all
 /// lives of its usher; who has left never comes back, and who drains does so till it has.
--- a/crates/callboard/src/playbill.rs
+++ b/crates/endpoint-registry/src/playbill.rs
@@ -2,7 +2,7 @@
 //! are ignored; of one instance the later word counts, whichever prompter it came from.
 use std::collections::BTreeMap;
 
-use notchspool_cues::{Bill, State, Station};
+use notchspool_mesh_protocol::{Bill, State, Station};
 
 use crate::later;
 
--- a/crates/keeper/src/calls.rs
+++ b/crates/fleet-controller/src/calls.rs
@@ -2,7 +2,7 @@
 use std::io;
 use std::sync::Arc;
 
-use notchspool_talk::{LONGEST, SHORT};
+use notchspool_fleet_protocol::{LONGEST, SHORT};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::{Semaphore, mpsc};
--- a/crates/keeper/src/disk.rs
+++ b/crates/fleet-controller/src/disk.rs
@@ -1,8 +1,8 @@
 //! A voter's disk: one file, changed in whole transactions that are on the disk before anything is answered.
 use std::path::{Path, PathBuf};
 
-use notchspool_election::voter::{Disk, Write};
-use notchspool_election::{Ballot, Entries, Entry, Lease, Space, VoterId};
+use notchspool_consensus::voter::{Disk, Write};
+use notchspool_consensus::{Ballot, Entries, Entry, Lease, Space, VoterId};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 
 const KEPT: TableDefinition<&str, &str> = TableDefinition::new("kept");
@@ -198,7 +198,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use notchspool_election::{ContenderId, Token};
+    use notchspool_consensus::{ContenderId, Token};
 
     fn folder(name: &str) -> PathBuf {
         let folder = std::env::temp_dir().join(format!("notchspool-disk-{name}-{}", std::process::id()));
--- a/crates/keeper/src/file.rs
+++ b/crates/fleet-controller/src/file.rs
@@ -3,9 +3,9 @@
 use std::path::PathBuf;
 
 use notchspool::units::Micros;
-use notchspool_election::Terms;
-use notchspool_members::leases;
-use notchspool_terms::place::Mistake;
+use notchspool_consensus::Terms;
+use notchspool_leases::leases;
+use notchspool_settings::place::Mistake;
 use serde::Deserialize;
 use toml::Spanned;
 
@@ -83,7 +83,7 @@
     /// Its own place among them, from 0.
     pub place: u16,
     pub terms: Terms,
-    pub office: notchspool_fleet::Terms,
+    pub office: notchspool_command_controller::Terms,
 }
 
 /// Whether a text may name a fleet or a process of it.
@@ -154,7 +154,7 @@
         rate: within(&i.rate, 0.1, 1e6),
         burst: within(&i.burst, 1.0, 1e6),
     };
-    let office = notchspool_fleet::Terms {
+    let office = notchspool_command_controller::Terms {
         leases,
         part: within(&w.part, 0.001, 1.0),
         keep: within(&w.keep, 1.0, 1_000.0) as usize,
--- a/crates/keeper/src/peers.rs
+++ b/crates/fleet-controller/src/peers.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use notchspool_election::{Answer, Ask, VoterId};
-use notchspool_talk::{Body, Message};
+use notchspool_consensus::{Answer, Ask, VoterId};
+use notchspool_fleet_protocol::{Body, Message};
 use tokio::net::TcpStream;
 use tokio::sync::{Semaphore, mpsc};
 use tokio::time::{sleep, timeout};
--- a/crates/keeper/src/seat.rs
+++ b/crates/fleet-controller/src/seat.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, Instant};
 
 use notchspool::units::Micros;
-use notchspool_election::voter::{Disk, Voter};
-use notchspool_election::{Answer, Ask, Said, Terms, VoterId};
+use notchspool_consensus::voter::{Disk, Voter};
+use notchspool_consensus::{Answer, Ask, Said, Terms, VoterId};
 
 use crate::disk::{Found, Store};
 
--- a/crates/keeper/tests/golden.rs
+++ b/crates/fleet-controller/tests/golden.rs
@@ -1,6 +1,6 @@
 //! A voter's disk recorded before the code was renamed: it is opened by its fleet and place, and holds what it held.
-use notchspool_election::voter::Disk;
-use notchspool_keeper::disk::{Found, Store};
+use notchspool_consensus::voter::Disk;
+use notchspool_fleet_controller::disk::{Found, Store};
 
 /// All of it, without the names that the code has for it.
 fn described(disk: &Disk) -> String {
--- a/crates/talk/src/lib.rs
+++ b/crates/fleet-protocol/src/lib.rs
@@ -9,9 +9,9 @@
 
 use std::collections::BTreeMap;
 
-use notchspool_election::{Answer, Ask, Token};
-use notchspool_orders::book::State;
-use notchspool_orders::{Act, Epoch, InstanceId, Outcome, Revision};
+use notchspool_commands::book::State;
+use notchspool_commands::{Act, Epoch, InstanceId, Outcome, Revision};
+use notchspool_consensus::{Answer, Ask, Token};
 use serde::{Deserialize, Serialize};
 
 /// The form that is written. Read are this one and those in `READ`.
--- a/crates/talk/tests/client.rs
+++ b/crates/fleet-protocol/tests/client.rs
@@ -3,8 +3,8 @@
 use std::net::{SocketAddr, TcpListener};
 use std::time::Duration;
 
-use notchspool_talk::client::Client;
-use notchspool_talk::{Body, Message};
+use notchspool_fleet_protocol::client::Client;
+use notchspool_fleet_protocol::{Body, Message};
 use rstest::rstest;
 
 const PATIENCE: Duration = Duration::from_secs(10);
--- a/crates/talk/tests/golden.rs
+++ b/crates/fleet-protocol/tests/golden.rs
@@ -1,6 +1,6 @@
 //! Lines recorded before the messages were renamed: each is read, and written again byte for byte. Fields that are not known are
 //! refused, so a name that followed a renamed field by mistake is found in either direction.
-use notchspool_talk::Message;
+use notchspool_fleet_protocol::Message;
 
 const LINES: &str = include_str!("golden/lines.jsonl");
 
--- a/crates/talk/tests/search.rs
+++ b/crates/fleet-protocol/tests/search.rs
@@ -1,5 +1,5 @@
 //! Every way that five keepers can name one another, every owner, every beginning.
-use notchspool_talk::search::Search;
+use notchspool_fleet_protocol::search::Search;
 
 #[test]
 fn the_owner_is_asked_within_two_tries_a_keeper_whatever_the_others_name() {
--- a/crates/cloakroom/src/rack.rs
+++ b/crates/idempotency/src/rack.rs
@@ -2,7 +2,7 @@
 use std::collections::{HashMap, VecDeque};
 
 use notchspool::units::Micros;
-use notchspool_cues::{Claim, Ticket};
+use notchspool_mesh_protocol::{Claim, Ticket};
 
 /// Keys at most: what is past it is not granted.
 pub const MOST: usize = 200_000;
--- a/crates/cloakroom/src/round.rs
+++ b/crates/idempotency/src/round.rs
@@ -1,7 +1,7 @@
 //! One claim at all voters of a set. What is said under another set's number does not count.
 use std::collections::BTreeMap;
 
-use notchspool_cues::{Claimed, Ticket};
+use notchspool_mesh_protocol::{Claimed, Ticket};
 
 /// What came of it.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/cloakroom/tests/claims.rs
+++ b/crates/idempotency/tests/claims.rs
@@ -2,10 +2,10 @@
 use std::collections::BTreeSet;
 
 use notchspool::units::Micros;
-use notchspool_cloakroom::coats::{Coat, Coats, Event};
-use notchspool_cloakroom::rack::{Rack, Vote};
-use notchspool_cloakroom::round::{Round, Verdict};
-use notchspool_cues::{Claim, Claimed, Ticket};
+use notchspool_idempotency::coats::{Coat, Coats, Event};
+use notchspool_idempotency::rack::{Rack, Vote};
+use notchspool_idempotency::round::{Round, Verdict};
+use notchspool_mesh_protocol::{Claim, Claimed, Ticket};
 
 fn claim(ticket: u64, turn: u32) -> Claim {
     let ticket = Some(Ticket { life: 1, number: ticket, turn });
--- a/crates/cloakroom/tests/rack.rs
+++ b/crates/idempotency/tests/rack.rs
@@ -1,7 +1,7 @@
 //! One voter's claims.
 use notchspool::units::Micros;
-use notchspool_cloakroom::rack::{Rack, Vote};
-use notchspool_cues::{Claim, Ticket};
+use notchspool_idempotency::rack::{Rack, Vote};
+use notchspool_mesh_protocol::{Claim, Ticket};
 
 fn claim(key: &str, life: u64, turn: u32) -> Claim {
     let ticket = Some(Ticket { life, number: 1, turn });
--- a/crates/lab/src/ground/judge.rs
+++ b/crates/lab/src/ground/judge.rs
@@ -2,8 +2,8 @@
 //! what the keepers' book says in the end, who said to own when it was asked. No process is judged by its own word alone.
 use std::collections::{BTreeMap, BTreeSet};
 
-use notchspool_orders::book::State;
-use notchspool_talk::Ordered;
+use notchspool_commands::book::State;
+use notchspool_fleet_protocol::Ordered;
 
 /// Something was done to an agent, as it noted itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -168,7 +168,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use notchspool_orders::{Act, Epoch, Revision};
+    use notchspool_commands::{Act, Epoch, Revision};
     use rstest::rstest;
 
     fn order(revision: u64, state: State) -> Ordered {
--- a/crates/lab/src/ground/measure.rs
+++ b/crates/lab/src/ground/measure.rs
@@ -2,9 +2,9 @@
 //! acknowledged, what a keeper costs, and whether every instance of many obeys in time.
 use std::time::{Duration, Instant};
 
-use notchspool_orders::Act;
-use notchspool_talk::client::Client;
-use notchspool_talk::{Body, Order, Whom};
+use notchspool_commands::Act;
+use notchspool_fleet_protocol::client::Client;
+use notchspool_fleet_protocol::{Body, Order, Whom};
 
 use super::field::{End, Field, Plan};
 use super::play::{owner, settled};
@@ -148,14 +148,14 @@
 /// written down), and for all of them saying that it is done; and bytes written for the order.
 pub fn office(instances: usize) -> (f64, f64, f64, usize) {
     use notchspool::units::Micros;
-    use notchspool_fleet::{Office, Terms};
-    use notchspool_members::leases;
-    use notchspool_orders::Outcome;
-    use notchspool_talk::Report;
+    use notchspool_command_controller::{Office, Terms};
+    use notchspool_commands::Outcome;
+    use notchspool_fleet_protocol::Report;
+    use notchspool_leases::leases;
 
     let terms = leases::Terms { rate: 1e9, burst: 1e9, ..leases::Terms::default() };
     let terms = Terms { leases: terms, part: 1.0, keep: 200, again: Micros::ms(500) };
-    let mut office = Office::open(terms, notchspool_election::Token(1), &Default::default(), 1, Micros(0));
+    let mut office = Office::open(terms, notchspool_consensus::Token(1), &Default::default(), 1, Micros(0));
     let mut all = Vec::new();
     for n in 0..instances {
         let zone = format!("z{}", n % 10);
@@ -244,14 +244,14 @@
     // Their fronts are asked, not their words taken; those that stand still can't say.
     let (mut untrue, mut states) = (0, std::collections::BTreeMap::<String, usize>::new());
     for (name, state) in &ordered.states {
-        *states.entry(notchspool_fleet::office::word(state).to_owned()).or_default() += 1;
+        *states.entry(notchspool_command_controller::office::word(state).to_owned()).or_default() += 1;
         let n: usize = name.trim_start_matches('a').parse().map_err(|_| "a name")?;
         if !stopped.contains(&n) {
             let away = field.takes_clients(n) == Some(false);
             let applied = matches!(
                 state,
-                notchspool_orders::book::State::Applied(_)
-                    | notchspool_orders::book::State::Failed { late: Some(_), .. }
+                notchspool_commands::book::State::Applied(_)
+                    | notchspool_commands::book::State::Failed { late: Some(_), .. }
             );
             untrue += usize::from(away != applied);
         }
--- a/crates/lab/src/ground/play.rs
+++ b/crates/lab/src/ground/play.rs
@@ -4,9 +4,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use notchspool_orders::{Act, Revision};
-use notchspool_talk::client::Client;
-use notchspool_talk::{Body, Order, Whom};
+use notchspool_commands::{Act, Revision};
+use notchspool_fleet_protocol::client::Client;
+use notchspool_fleet_protocol::{Body, Order, Whom};
 use oorandom::Rand64;
 
 use super::field::{End, Field};
@@ -315,7 +315,7 @@
 }
 
 /// Every order with its pairs, once none is open any more.
-pub fn book(field: &Field) -> Result<Vec<notchspool_talk::Ordered>, String> {
+pub fn book(field: &Field) -> Result<Vec<notchspool_fleet_protocol::Ordered>, String> {
     let mut client = client(field, "judge");
     let mut book = Vec::new();
     let ended = wait("every pair comes to its end", PATIENCE, || {
--- a/crates/lab/src/mesh/changes.rs
+++ b/crates/lab/src/mesh/changes.rs
@@ -5,10 +5,10 @@
 use std::time::{Duration, Instant};
 
 use notchspool::units::Micros;
-use notchspool_cues::texts::{Heard, Texts};
-use notchspool_cues::{Hello, Watch, What};
-use notchspool_prompter::office::{Act, Office, Opening, Tolerate};
-use notchspool_trapdoor::Trapdoor;
+use notchspool_control_plane::office::{Act, Office, Opening, Tolerate};
+use notchspool_mesh_protocol::texts::{Heard, Texts};
+use notchspool_mesh_protocol::{Hello, Watch, What};
+use notchspool_storage::Trapdoor;
 
 use super::player::routes;
 
@@ -78,7 +78,7 @@
 
 fn size(what: &What) -> u64 {
     let mut out = bytes::BytesMut::new();
-    notchspool_cues::write(what.clone(), &mut out);
+    notchspool_mesh_protocol::write(what.clone(), &mut out);
     out.len() as u64
 }
 
--- a/crates/lab/src/mesh/player.rs
+++ b/crates/lab/src/mesh/player.rs
@@ -3,19 +3,19 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use notchspool::units::Micros;
-use notchspool_callboard::beats::Event as Call;
-use notchspool_cloakroom::coats::Event as Turn;
-use notchspool_cloakroom::round::Verdict;
-use notchspool_cues as cues;
-use notchspool_cues::texts::{Heard, Texts};
-use notchspool_cues::{Claim, Hello, Ping, Snapshot, Want, Watch, What, Withdraw};
-use notchspool_election::sets::VoterSet;
-use notchspool_election::{Ballot, ContenderId, Entry, Token};
-use notchspool_promptbook::digest::Digest;
-use notchspool_promptbook::register::{Value, VersionedConfig};
-use notchspool_promptbook::script::Script;
-use notchspool_prompter::office::{Act, Office, Opening, Tolerate};
-use notchspool_trapdoor::{Deed, Found, Seat};
+use notchspool_consensus::sets::VoterSet;
+use notchspool_consensus::{Ballot, ContenderId, Entry, Token};
+use notchspool_control_plane::office::{Act, Office, Opening, Tolerate};
+use notchspool_endpoint_registry::beats::Event as Call;
+use notchspool_idempotency::coats::Event as Turn;
+use notchspool_idempotency::round::Verdict;
+use notchspool_mesh_config::digest::Digest;
+use notchspool_mesh_config::register::{Value, VersionedConfig};
+use notchspool_mesh_config::script::Script;
+use notchspool_mesh_protocol as cues;
+use notchspool_mesh_protocol::texts::{Heard, Texts};
+use notchspool_mesh_protocol::{Claim, Hello, Ping, Snapshot, Want, Watch, What, Withdraw};
+use notchspool_storage::{Deed, Found, Seat};
 use oorandom::Rand64;
 
 use super::usher::{BEAT, Usher};
@@ -60,7 +60,7 @@
     }
     /// All of it at once, as the disk does it.
     fn install(&mut self, snapshot: &Snapshot, breach: Breach) {
-        let told = |b: Option<notchspool_cues::Ballot>| {
+        let told = |b: Option<notchspool_mesh_protocol::Ballot>| {
             let b = b.unwrap_or_default();
             Ballot { token: Token(0), round: b.round, by: ContenderId(b.by) }
         };
@@ -513,7 +513,7 @@
             }
             What::Holding(holding) => self.holding(to, holding.chosen, holding.sure),
             What::Word(word) => {
-                let body = notchspool_cues::unpack(&word).unwrap_or_default();
+                let body = notchspool_mesh_protocol::unpack(&word).unwrap_or_default();
                 self.word(at, word.version, &String::from_utf8_lossy(&body));
             }
             What::Bill(bill) if self.ushers[at].followed == Some(from.1) => {
@@ -574,7 +574,7 @@
         runs.len() as u64
     }
 
-    fn verdict(&mut self, at: usize, key: &str, ticket: notchspool_cues::Ticket, verdict: Verdict) {
+    fn verdict(&mut self, at: usize, key: &str, ticket: notchspool_mesh_protocol::Ticket, verdict: Verdict) {
         let now = self.now;
         if verdict == Verdict::Ours {
             self.ushers[at].coats.turn(now, key, Turn::Granted);
--- a/crates/lab/src/mesh/timeline.rs
+++ b/crates/lab/src/mesh/timeline.rs
@@ -1,7 +1,7 @@
 //! Timelines drawn as text, one column an agent. The first line names the columns; each further line is a time in seconds and a cell a column, cells
 //! apart by two spaces or more, `.` for nothing. A cell does something to its agent, or says what has to be seen there then.
 use notchspool::units::Micros;
-use notchspool_promptbook::script::Script;
+use notchspool_mesh_config::script::Script;
 
 use super::player::{Breach, Player};
 
--- a/crates/lab/src/mesh/traffic/backend.rs
+++ b/crates/lab/src/mesh/traffic/backend.rs
@@ -2,7 +2,7 @@
 use std::collections::BTreeMap;
 
 use notchspool::units::Micros;
-use notchspool_stage::connection::{Head, Id};
+use notchspool_data_plane::connection::{Head, Id};
 
 use super::judge::Run;
 use super::world::{Load, World};
--- a/crates/lab/src/mesh/traffic/door.rs
+++ b/crates/lab/src/mesh/traffic/door.rs
@@ -3,15 +3,15 @@
 
 use bytes::Bytes;
 use notchspool::units::Micros;
-use notchspool_cloakroom::coats::Coats;
-use notchspool_cloakroom::round::{Round, Verdict as Claimed};
-use notchspool_cues::{Ask, Cancel, Claim, Pair, Part, Ping, Said, Ticket, Verdict, What, Withdraw};
-use notchspool_stage::connection::{Connection, Event, Step, Word};
-use notchspool_stage::door::{Admit, Comer, Door};
-use notchspool_stage::exchange::{Answering, Asked, Does};
-use notchspool_stage::link::only;
-use notchspool_stage::operation::{self, Kept};
-use notchspool_stage::standstill::{self, Standstill};
+use notchspool_data_plane::connection::{Connection, Event, Step, Word};
+use notchspool_data_plane::door::{Admit, Comer, Door};
+use notchspool_data_plane::exchange::{Answering, Asked, Does};
+use notchspool_data_plane::link::only;
+use notchspool_data_plane::operation::{self, Kept};
+use notchspool_data_plane::standstill::{self, Standstill};
+use notchspool_idempotency::coats::Coats;
+use notchspool_idempotency::round::{Round, Verdict as Claimed};
+use notchspool_mesh_protocol::{Ask, Cancel, Claim, Pair, Part, Ping, Said, Ticket, Verdict, What, Withdraw};
 
 use super::Breach;
 use super::backend::Reply;
@@ -435,8 +435,8 @@
             // It comes behind the answer that is passed on.
             return;
         }
-        let own = notchspool_stage::connection::Id::One(work.ask.attempt.clone());
-        let missing = reply.head.id == notchspool_stage::connection::Id::Missing;
+        let own = notchspool_data_plane::connection::Id::One(work.ask.attempt.clone());
+        let missing = reply.head.id == notchspool_data_plane::connection::Id::Missing;
         if ids || (bare && missing && reply.head.not_run) {
             reply.head.id = own;
         }
--- a/crates/lab/src/mesh/traffic/lobby.rs
+++ b/crates/lab/src/mesh/traffic/lobby.rs
@@ -1,11 +1,11 @@
 //! An usher where requests begin: what they are told, and the links to other ushers.
 use notchspool::units::Micros;
-use notchspool_cues::{Ask, Cancel, Fetch, Ping, Said, Ticket, Verdict, What};
-use notchspool_stage::attempts::{Attempts, Event, Next, Terms};
-use notchspool_stage::exchange::{Asking, Event as Heard, LONGEST, Step};
-use notchspool_stage::link::only;
-use notchspool_stage::operation::NOT_HERE;
-use notchspool_stage::standstill::FROZEN;
+use notchspool_data_plane::attempts::{Attempts, Event, Next, Terms};
+use notchspool_data_plane::exchange::{Asking, Event as Heard, LONGEST, Step};
+use notchspool_data_plane::link::only;
+use notchspool_data_plane::operation::NOT_HERE;
+use notchspool_data_plane::standstill::FROZEN;
+use notchspool_mesh_protocol::{Ask, Cancel, Fetch, Ping, Said, Ticket, Verdict, What};
 
 use super::Breach;
 use super::door::{From, Purpose};
--- a/crates/lab/src/mesh/traffic/world.rs
+++ b/crates/lab/src/mesh/traffic/world.rs
@@ -2,8 +2,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use notchspool::units::Micros;
-use notchspool_cloakroom::rack::{Rack, Vote};
-use notchspool_cues::{Claim, Claimed, What};
+use notchspool_idempotency::rack::{Rack, Vote};
+use notchspool_mesh_protocol::{Claim, Claimed, What};
 use oorandom::Rand64;
 
 use super::backend::{Backend, Reply};
--- a/crates/lab/src/mesh/usher.rs
+++ b/crates/lab/src/mesh/usher.rs
@@ -2,14 +2,14 @@
 use std::collections::BTreeMap;
 
 use notchspool::units::Micros;
-use notchspool_callboard::beats::{Beat, Beats, Event};
-use notchspool_callboard::playbill::Playbill;
-use notchspool_cloakroom::coats::{Coat, Coats};
-use notchspool_cloakroom::round::{Round, Verdict};
-use notchspool_cues::texts::Texts;
-use notchspool_cues::{Claim, State, Station, Ticket, What};
-use notchspool_stage::company::{Company, Order};
-use notchspool_stage::purse::Purse;
+use notchspool_data_plane::company::{Company, Order};
+use notchspool_data_plane::purse::Purse;
+use notchspool_endpoint_registry::beats::{Beat, Beats, Event};
+use notchspool_endpoint_registry::playbill::Playbill;
+use notchspool_idempotency::coats::{Coat, Coats};
+use notchspool_idempotency::round::{Round, Verdict};
+use notchspool_mesh_protocol::texts::Texts;
+use notchspool_mesh_protocol::{Claim, State, Station, Ticket, What};
 
 /// A claim that is waited for.
 pub struct Hand {
@@ -138,7 +138,7 @@
 
     /// The instances that a hundred draws come upon.
     pub fn draws(&mut self, now: Micros) -> Vec<String> {
-        use notchspool_promptbook::script::{Route, RouteKind};
+        use notchspool_mesh_config::script::{Route, RouteKind};
         let route = Route {
             name: "r".into(),
             host: "h".into(),
@@ -165,7 +165,7 @@
     }
 
     /// Told of a set: true where it is a later one.
-    pub fn learns(&mut self, set: &notchspool_cues::Set) -> bool {
+    pub fn learns(&mut self, set: &notchspool_mesh_protocol::Set) -> bool {
         let later = set.number > self.set;
         if later {
             self.set = set.number;
@@ -205,7 +205,7 @@
         }
         self.next += 1;
         let ticket = Ticket { life: self.life, number: self.next, turn: 0 };
-        self.coats.turn(now, key, notchspool_cloakroom::coats::Event::Claim);
+        self.coats.turn(now, key, notchspool_idempotency::coats::Event::Claim);
         let round = Round::begin(self.set, self.voters.len());
         let until = now + Micros::ms(400);
         let hand = Hand { key: key.into(), ticket, round, until, again_at: now };
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -9,10 +9,10 @@
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::time::{Duration, Instant};
 
-use notchspool_cloakroom::round::{Round, Verdict};
-use notchspool_cues::texts::{Heard, Texts};
-use notchspool_cues::{Bill, Claim, Cue, Hello, Ping, State, Station, Ticket, Want, Watch, What};
-use notchspool_rigging::rope::{self, Rope};
+use notchspool_idempotency::round::{Round, Verdict};
+use notchspool_mesh_protocol::texts::{Heard, Texts};
+use notchspool_mesh_protocol::{Bill, Claim, Cue, Hello, Ping, State, Station, Ticket, Want, Watch, What};
+use notchspool_runtime::rope::{self, Rope};
 use oorandom::Rand64;
 use prost::Message;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
--- a/crates/lab/src/scale/play.rs
+++ b/crates/lab/src/scale/play.rs
@@ -372,7 +372,7 @@
         process.start(&[])?;
     }
     let word_bytes = field.word(1).len();
-    let packed_bytes = notchspool_cues::pack(1, field.word(1).as_bytes()).body.len();
+    let packed_bytes = notchspool_mesh_protocol::pack(1, field.word(1).as_bytes()).body.len();
     let sheet = Sheet {
         hollow: plan.hollow,
         ushers: plan.ushers,
--- a/crates/members/src/leases.rs
+++ b/crates/leases/src/leases.rs
@@ -2,7 +2,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use notchspool::units::Micros;
-use notchspool_orders::{Epoch, InstanceId};
+use notchspool_commands::{Epoch, InstanceId};
 use oorandom::Rand64;
 
 use crate::admit::Admission;
--- a/crates/members/tests/conformance.rs
+++ b/crates/leases/tests/conformance.rs
@@ -5,10 +5,10 @@
 use std::collections::BTreeMap;
 
 use notchspool::units::Micros;
-use notchspool_election::Token;
-use notchspool_election::fence::{Fence, Pass};
-use notchspool_members::leases::{Leases, Registered, Renewal, Standing, Terms};
-use notchspool_orders::Epoch;
+use notchspool_commands::Epoch;
+use notchspool_consensus::Token;
+use notchspool_consensus::fence::{Fence, Pass};
+use notchspool_leases::leases::{Leases, Registered, Renewal, Standing, Terms};
 use table::{Row, names, rows};
 
 struct Play {
--- a/crates/members/tests/leases.rs
+++ b/crates/leases/tests/leases.rs
@@ -2,9 +2,9 @@
 use std::collections::BTreeMap;
 
 use notchspool::units::Micros;
-use notchspool_members::admit::Admission;
-use notchspool_members::leases::{Leases, Renewal, Standing, Terms};
-use notchspool_orders::{Epoch, InstanceId};
+use notchspool_commands::{Epoch, InstanceId};
+use notchspool_leases::admit::Admission;
+use notchspool_leases::leases::{Leases, Renewal, Standing, Terms};
 use proptest::collection::vec;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
--- a/crates/promptbook/src/pen.rs
+++ b/crates/mesh-config/src/pen.rs
@@ -1,7 +1,7 @@
 //! How a configuration becomes the one that holds. One register by ballots among the voters; its value is the configuration with the
 //! highest version, and the digests of the bodies taken under numbers below it (`register`). Writing it is reading it first: what is
 //! written is what was found, with each new body under a number that is still free. So there is one body for a number, the version
-//! never goes back, and what more than half have on disk is found by every later round (CASPaxos; `notchspool_election` has voters and
+//! never goes back, and what more than half have on disk is found by every later round (CASPaxos; `notchspool_consensus` has voters and
 //! rounds).
 //!
 //! Every call, also one that changes nothing, ends by a write of its own to more than half, begun after the call came; what it is
@@ -13,8 +13,8 @@
 use std::collections::VecDeque;
 
 use notchspool::units::Micros;
-use notchspool_election::round::{Round, Verdict};
-use notchspool_election::{Answer, Ask, Ballot, ContenderId, Space, Terms, Token, VoterId};
+use notchspool_consensus::round::{Round, Verdict};
+use notchspool_consensus::{Answer, Ask, Ballot, ContenderId, Space, Terms, Token, VoterId};
 
 use crate::digest::Digest;
 pub use crate::register::VersionedConfig;
--- a/crates/promptbook/tests/word.rs
+++ b/crates/mesh-config/tests/word.rs
@@ -3,12 +3,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use notchspool::units::Micros;
-use notchspool_election::readmit::Readmission;
-use notchspool_election::voter::{Disk, Voter};
-use notchspool_election::{Answer, Ask, ContenderId, Said, Terms, VoterId};
-use notchspool_promptbook::digest::Digest;
-use notchspool_promptbook::pen::{self, End, KEY, Order, Proposer, Step, VersionedConfig};
-use notchspool_promptbook::register::{REMEMBERED, Standing, Value};
+use notchspool_consensus::readmit::Readmission;
+use notchspool_consensus::voter::{Disk, Voter};
+use notchspool_consensus::{Answer, Ask, ContenderId, Said, Terms, VoterId};
+use notchspool_mesh_config::digest::Digest;
+use notchspool_mesh_config::pen::{self, End, KEY, Order, Proposer, Step, VersionedConfig};
+use notchspool_mesh_config::register::{REMEMBERED, Standing, Value};
 use quickcheck::{Gen, QuickCheck, TestResult};
 use rstest::rstest;
 
--- a/crates/cues/tests/frames.rs
+++ b/crates/mesh-protocol/tests/frames.rs
@@ -1,6 +1,6 @@
 //! How messages lie on a connection.
 use bytes::{BufMut, BytesMut};
-use notchspool_cues::{Ping, Want, What, Wrong, read, write};
+use notchspool_mesh_protocol::{Ping, Want, What, Wrong, read, write};
 
 #[test]
 fn a_frame_comes_whole_or_not_at_all() {
--- a/crates/cues/tests/golden.rs
+++ b/crates/mesh-protocol/tests/golden.rs
@@ -1,7 +1,7 @@
 //! Frames recorded before the messages were renamed: each is read, and written again byte for byte. An upgrade runs with processes of
 //! both builds, so a renamed field must not have moved to another tag.
 use bytes::BytesMut;
-use notchspool_cues::{read, write};
+use notchspool_mesh_protocol::{read, write};
 
 const FRAMES: &str = include_str!("golden/frames.txt");
 
--- a/crates/cues/tests/snapshot.rs
+++ b/crates/mesh-protocol/tests/snapshot.rs
@@ -1,7 +1,7 @@
 //! A snapshot is whole or none, in a file and on its way.
 use bytes::Bytes;
-use notchspool_cues::snapshot::{Assembly, PIECE, Sending, Step, decode, encode};
-use notchspool_cues::{Ballot, Claim, More, Piece, Snapshot, Ticket};
+use notchspool_mesh_protocol::snapshot::{Assembly, PIECE, Sending, Step, decode, encode};
+use notchspool_mesh_protocol::{Ballot, Claim, More, Piece, Snapshot, Ticket};
 
 fn noise(n: usize) -> String {
     let mut state = 7u64;
--- a/crates/cues/tests/texts.rs
+++ b/crates/mesh-protocol/tests/texts.rs
@@ -1,7 +1,7 @@
 //! Texts told as differences: what was meant arrives byte for byte, or it is refused and the whole asked for.
-use notchspool_cues::difference::{apply, diff, digest};
-use notchspool_cues::texts::{Heard, Texts};
-use notchspool_cues::{All, Hello, Lack, MOST_WORD, Vote, Voted, Want, What, Word, pack, unpack};
+use notchspool_mesh_protocol::difference::{apply, diff, digest};
+use notchspool_mesh_protocol::texts::{Heard, Texts};
+use notchspool_mesh_protocol::{All, Hello, Lack, MOST_WORD, Vote, Voted, Want, What, Word, pack, unpack};
 use quickcheck::{Gen, QuickCheck};
 
 fn check<A, B>(tests: u64, property: fn(A, B) -> bool)
@@ -32,7 +32,7 @@
 
 fn bytes(what: &What) -> usize {
     let mut out = bytes::BytesMut::new();
-    notchspool_cues::write(what.clone(), &mut out);
+    notchspool_mesh_protocol::write(what.clone(), &mut out);
     out.len()
 }
 
@@ -40,8 +40,8 @@
 fn pass(from: &mut Texts, to: &mut Texts, what: What) -> Heard {
     let sent = from.send(1, what);
     let mut out = bytes::BytesMut::new();
-    notchspool_cues::write(sent, &mut out);
-    let came = notchspool_cues::read(&mut out).unwrap().unwrap();
+    notchspool_mesh_protocol::write(sent, &mut out);
+    let came = notchspool_mesh_protocol::read(&mut out).unwrap().unwrap();
     to.hear(1, came)
 }
 
--- a/crates/usher/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -3,8 +3,8 @@
 use std::process::ExitCode;
 
 use bpaf::{Parser, construct, long};
-use notchspool_rigging::signals::Signals;
-use notchspool_rigging::told::{Senseless, Told};
+use notchspool_runtime::signals::Signals;
+use notchspool_runtime::told::{Senseless, Told};
 
 struct Opts {
     settings: Option<PathBuf>,
@@ -58,7 +58,7 @@
         }
     };
     let opts = opts().run();
-    notchspool_rigging::logs(if opts.verbose { log::LevelFilter::Debug } else { log::LevelFilter::Info });
+    notchspool_runtime::logs(if opts.verbose { log::LevelFilter::Debug } else { log::LevelFilter::Info });
     let file = opts.settings.or_else(|| std::env::var_os("NOTCHSPOOL_SETTINGS").map(PathBuf::from));
     let Some(file) = file else {
         eprintln!("usher: NOTCHSPOOL_SETTINGS: names no settings file");
@@ -76,7 +76,7 @@
         return ExitCode::SUCCESS;
     }
     let local = tokio::task::LocalSet::new();
-    match local.block_on(&runtime, notchspool_stage::run::run(told, file, at, signals)) {
+    match local.block_on(&runtime, notchspool_data_plane::run::run(told, file, at, signals)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("usher: {e}");
--- a/crates/usher/tests/whole.rs
+++ b/crates/proxy/tests/whole.rs
@@ -7,8 +7,8 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use notchspool_rigging::signals::Signals;
-use notchspool_rigging::told::Told;
+use notchspool_runtime::signals::Signals;
+use notchspool_runtime::told::Told;
 
 const BOUND: Duration = Duration::from_secs(30);
 
@@ -168,7 +168,7 @@
     let control = of_core.listener(&file, "controlPlane").unwrap();
     on_a_thread(move || async move {
         let signals = Signals::take().unwrap();
-        notchspool_prompter::house::run(of_core, file, control, signals).await.unwrap()
+        notchspool_control_plane::house::run(of_core, file, control, signals).await.unwrap()
     });
     let ushers = ["127.77.2.1", "127.77.2.2"];
     let seen: Vec<Seen> =
@@ -177,7 +177,7 @@
         let (file, told) = told(ip, None, core, "s");
         let at = ["outbound", "readiness", "controlPlane"].map(|name| told.listener(&file, name).unwrap());
         on_a_thread(move || async move {
-            notchspool_stage::run::run(told, file, at, Signals::take().unwrap()).await.unwrap()
+            notchspool_data_plane::run::run(told, file, at, Signals::take().unwrap()).await.unwrap()
         });
     }
     let runs = |path: &str| -> usize {
@@ -256,7 +256,7 @@
 #[test]
 fn a_settings_file_that_makes_no_sense_ends_with_2_and_one_line() {
     let run = |args: &[&str]| {
-        std::process::Command::new(env!("CARGO_BIN_EXE_usher"))
+        std::process::Command::new(env!("CARGO_BIN_EXE_notchspool-proxy"))
             .args(args)
             .env_remove("NOTCHSPOOL_SETTINGS")
             .output()
--- a/crates/limits/tests/division.rs
+++ b/crates/quotas/tests/division.rs
@@ -1,7 +1,7 @@
 //! The division against what it promises, by random operations.
 use std::collections::BTreeMap;
 
-use notchspool_limits::division::{Division, Party};
+use notchspool_quotas::division::{Division, Party};
 use proptest::collection::vec;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
--- a/crates/rigging/src/rope.rs
+++ b/crates/runtime/src/rope.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use notchspool_cues::{What, Wrong, read, write};
+use notchspool_mesh_protocol::{What, Wrong, read, write};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
@@ -26,7 +26,7 @@
     #[display("{_0}")]
     Io(std::io::Error),
     #[display("{_0}")]
-    Wrong(notchspool_cues::Wrong),
+    Wrong(notchspool_mesh_protocol::Wrong),
     #[display("let go here")]
     Dropped,
 }
--- a/crates/rigging/tests/rope.rs
+++ b/crates/runtime/tests/rope.rs
@@ -2,8 +2,8 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-use notchspool_cues::{Ping, What, write};
-use notchspool_rigging::rope::{End, Rope, run};
+use notchspool_mesh_protocol::{Ping, What, write};
+use notchspool_runtime::rope::{End, Rope, run};
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
 
--- a/crates/rigging/tests/told.rs
+++ b/crates/runtime/tests/told.rs
@@ -2,7 +2,7 @@
 use std::path::Path;
 
 use notchspool::units::Micros;
-use notchspool_rigging::told::Told;
+use notchspool_runtime::told::Told;
 
 const SOUND: &str = r#"{"node":"sidecar-a-1","zone":"a","ipAddress":"10.1.0.8","portRange":[7620,7635],
     "listenAddresses":{"inbound":"10.1.0.8:8300"},"seedNodes":["10.1.0.14:8306"],"firstStart":true,"dataPath":null,
--- a/crates/terms/tests/file.rs
+++ b/crates/settings/tests/file.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 
 use notchspool::units::{Kind, Micros};
-use notchspool_terms::file::{Place, Sticky, read};
+use notchspool_settings::file::{Place, Sticky, read};
 use rstest::rstest;
 
 #[rstest]
--- a/crates/trapdoor/src/claims.rs
+++ b/crates/storage/src/claims.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-use notchspool_cues::{All, Claim, Withdraw};
+use notchspool_mesh_protocol::{All, Claim, Withdraw};
 use okaywal::{Configuration, Entry, EntryId, LogManager, SegmentReader, WriteAheadLog};
 use prost::Message;
 
@@ -16,7 +16,7 @@
 /// By key and ticket: after a lost disk two tickets may stand for one key.
 type Table = HashMap<(String, u64, u64), (Claim, Instant)>;
 
-fn place(key: &str, ticket: Option<notchspool_cues::Ticket>) -> (String, u64, u64) {
+fn place(key: &str, ticket: Option<notchspool_mesh_protocol::Ticket>) -> (String, u64, u64) {
     let ticket = ticket.unwrap_or_default();
     (key.to_string(), ticket.life, ticket.number)
 }
--- a/crates/trapdoor/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -8,9 +8,9 @@
 use std::path::Path;
 use std::time::Duration;
 
-use notchspool_cues::{Claim, Snapshot, Ticket};
-use notchspool_election::sets::{Register, VoterSet};
-use notchspool_election::{Ballot, Entry};
+use notchspool_consensus::sets::{Register, VoterSet};
+use notchspool_consensus::{Ballot, Entry};
+use notchspool_mesh_protocol::{Claim, Snapshot, Ticket};
 use serde::{Deserialize, Serialize};
 
 use claims::Claims;
--- a/crates/trapdoor/src/state.rs
+++ b/crates/storage/src/state.rs
@@ -3,10 +3,10 @@
 //! A snapshot is one file, `installed`. Once it is whole on the disk it counts, and nothing beside it: it is carried out (its parts written
 //! over their files, what it replaces removed) and then removed itself. Should the power be lost in between, it is carried out again at the
 //! next start, before anything is read; should a write fail, before anything else is written.
-use notchspool_cues::snapshot;
-use notchspool_cues::{Claim, Snapshot};
-use notchspool_election::sets::VoterSet;
-use notchspool_election::{Ballot, ContenderId, Entry, Token};
+use notchspool_consensus::sets::VoterSet;
+use notchspool_consensus::{Ballot, ContenderId, Entry, Token};
+use notchspool_mesh_protocol::snapshot;
+use notchspool_mesh_protocol::{Claim, Snapshot};
 use serde::{Deserialize, Serialize};
 
 use crate::shelf::Shelf;
@@ -47,7 +47,7 @@
     doubt: bool,
 }
 
-fn ballot(told: Option<notchspool_cues::Ballot>) -> Ballot {
+fn ballot(told: Option<notchspool_mesh_protocol::Ballot>) -> Ballot {
     let told = told.unwrap_or_default();
     Ballot { token: Token(0), round: told.round, by: ContenderId(told.by) }
 }
--- a/crates/trapdoor/tests/claims.rs
+++ b/crates/storage/tests/claims.rs
@@ -1,9 +1,9 @@
 //! The log of claims.
 use std::time::{Duration, Instant};
 
-use notchspool_cues::{Claim, Ticket};
-use notchspool_trapdoor::Deed;
-use notchspool_trapdoor::claims::{AGAIN, Claims};
+use notchspool_mesh_protocol::{Claim, Ticket};
+use notchspool_storage::Deed;
+use notchspool_storage::claims::{AGAIN, Claims};
 
 fn claim(key: &str) -> Deed {
     let ticket = Some(Ticket { life: 1, number: 1, turn: 0 });
--- a/crates/trapdoor/tests/golden.rs
+++ b/crates/storage/tests/golden.rs
@@ -7,8 +7,8 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use notchspool_trapdoor::shelf::Shelf;
-use notchspool_trapdoor::{Deed, Found, Trapdoor};
+use notchspool_storage::shelf::Shelf;
+use notchspool_storage::{Deed, Found, Trapdoor};
 use prost::Message;
 
 const WINDOW: Duration = Duration::from_secs(60);
@@ -96,6 +96,6 @@
 fn a_recorded_snapshot_is_encoded_again_byte_for_byte() {
     let disk = Copy::of("installed", "snapshot");
     let bytes = Shelf::open(&disk.0).unwrap().get("installed").unwrap().unwrap();
-    let snapshot = notchspool_cues::snapshot::decode(&bytes).unwrap();
-    assert_eq!(notchspool_cues::snapshot::encode(&snapshot).unwrap(), bytes);
+    let snapshot = notchspool_mesh_protocol::snapshot::decode(&bytes).unwrap();
+    assert_eq!(notchspool_mesh_protocol::snapshot::encode(&snapshot).unwrap(), bytes);
 }
--- a/crates/trapdoor/tests/install.rs
+++ b/crates/storage/tests/install.rs
@@ -2,12 +2,12 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use notchspool_cues::snapshot::encode;
-use notchspool_cues::{Claim, Snapshot, Ticket};
-use notchspool_election::sets::VoterSet;
-use notchspool_election::{Ballot, ContenderId, Entry};
-use notchspool_trapdoor::shelf::sealed;
-use notchspool_trapdoor::{Deed, Found, Seat, Trapdoor};
+use notchspool_consensus::sets::VoterSet;
+use notchspool_consensus::{Ballot, ContenderId, Entry};
+use notchspool_mesh_protocol::snapshot::encode;
+use notchspool_mesh_protocol::{Claim, Snapshot, Ticket};
+use notchspool_storage::shelf::sealed;
+use notchspool_storage::{Deed, Found, Seat, Trapdoor};
 
 const WINDOW: Duration = Duration::from_secs(60);
 
@@ -34,7 +34,7 @@
 }
 
 fn snapshot(number: u64) -> Snapshot {
-    let told = |round| Some(notchspool_cues::Ballot { round, by: 1 });
+    let told = |round| Some(notchspool_mesh_protocol::Ballot { round, by: 1 });
     let (Deed::Seat(seat), Deed::Claim(claim)) = (seat(number), claim("new")) else { unreachable!() };
     Snapshot {
         set: number,
--- a/crates/trapdoor/tests/shelf.rs
+++ b/crates/storage/tests/shelf.rs
@@ -1,5 +1,5 @@
 //! Plain files.
-use notchspool_trapdoor::shelf::{sealed, unsealed};
+use notchspool_storage::shelf::{sealed, unsealed};
 
 #[test]
 fn a_file_torn_at_any_byte_is_no_file() {
--- a/crates/trapdoor/tests/state.rs
+++ b/crates/storage/tests/state.rs
@@ -4,14 +4,14 @@
 use std::io::Result;
 use std::sync::{Arc, Mutex};
 
-use notchspool_cues::snapshot::encode;
-use notchspool_cues::{Claim, Snapshot, Ticket};
-use notchspool_election::sets::VoterSet;
-use notchspool_election::{Ballot, ContenderId, Entry, Token};
-use notchspool_trapdoor::drive::Drive;
-use notchspool_trapdoor::shelf::{Shelf, sealed};
-use notchspool_trapdoor::state::State;
-use notchspool_trapdoor::{Deed, Seat, Trapdoor};
+use notchspool_consensus::sets::VoterSet;
+use notchspool_consensus::{Ballot, ContenderId, Entry, Token};
+use notchspool_mesh_protocol::snapshot::encode;
+use notchspool_mesh_protocol::{Claim, Snapshot, Ticket};
+use notchspool_storage::drive::Drive;
+use notchspool_storage::shelf::{Shelf, sealed};
+use notchspool_storage::state::State;
+use notchspool_storage::{Deed, Seat, Trapdoor};
 
 type Files = BTreeMap<String, Vec<u8>>;
 
@@ -203,7 +203,7 @@
 /// What the voter begins with: seat, promise, version accepted.
 type View = (Option<Seat>, Ballot, Option<(Ballot, String)>);
 
-fn view(found: &notchspool_trapdoor::Found) -> View {
+fn view(found: &notchspool_storage::Found) -> View {
     (found.seat.clone(), found.promised, found.entry.as_ref().map(|e| (e.at, e.value.clone())))
 }
 
@@ -214,7 +214,7 @@
 
 /// Of another set: its ballots and versions are lower than what it replaces.
 fn snapshot() -> Snapshot {
-    let told = |round| Some(notchspool_cues::Ballot { round, by: 7 });
+    let told = |round| Some(notchspool_mesh_protocol::Ballot { round, by: 7 });
     Snapshot {
         voter: 0,
         set: 2,
@@ -247,7 +247,7 @@
     steps
 }
 
-fn carry(state: &mut State, step: &Do) -> std::result::Result<(), notchspool_trapdoor::Broken> {
+fn carry(state: &mut State, step: &Do) -> std::result::Result<(), notchspool_storage::Broken> {
     // As `Trapdoor` does before all else.
     if !matches!(step, Do::Done) && !state.owed().is_empty() {
         state.done()?;
--- a/crates/wirehost/src/host.rs
+++ b/crates/wirehost/src/host.rs
@@ -3,8 +3,8 @@
 
 use notchspool::logic::Balancer;
 use notchspool::units::*;
-use notchspool_terms::read::*;
-use notchspool_terms::{Agreed, agreed, put, zone_number};
+use notchspool_settings::read::*;
+use notchspool_settings::{Agreed, agreed, put, zone_number};
 use serde_json::Value;
 
 use crate::actions::{Names, Wire};
