--- a/crates/agent/src/control/link.rs
+++ b/crates/agent/src/control/link.rs
@@ -6,7 +6,7 @@
 
 use notchspool_commands::obey::{Hear, Obey};
 use notchspool_commands::{Act, Epoch, InstanceId, Outcome, Revision};
-use notchspool_consensus::{Ask, OWNER, Owned, Said, Space, Token};
+use notchspool_consensus::{OWNER_KEY, OwnerRecord, Reply, Request, Space, Token};
 use notchspool_fleet_protocol::search::Search;
 use notchspool_fleet_protocol::{Body, Message, SHORT};
 use notchspool_settings::file::Fleet;
@@ -347,7 +347,7 @@
     async fn learn(&mut self) -> bool {
         let (mut told, mut seen) = (0, Token(0));
         for at in self.fleet.keepers.clone() {
-            let line = self.message(Body::Ask(Ask::Look { space: Space::Owner(JOB.into()) }));
+            let line = self.message(Body::Ask(Request::Read { space: Space::Owner(JOB.into()) }));
             let asked = async {
                 let mut io = TcpStream::connect(at).await?;
                 io.write_all(line.as_bytes()).await?;
@@ -359,8 +359,9 @@
                 continue;
             };
             // Who acted was first accepted as owner by a majority, so any majority has heard of it.
-            if let Said::Seen { entries, .. } = answer.said {
-                let owned = entries.get(OWNER).and_then(|e| Owned::read(&e.value)).unwrap_or_default();
+            if let Reply::Current { entries, .. } = answer.reply {
+                let owned =
+                    entries.get(OWNER_KEY).and_then(|e| OwnerRecord::parse(&e.value)).unwrap_or_default();
                 (told, seen) = (told + 1, seen.max(owned.token));
             }
         }
--- a/crates/agent/src/control/tokens.rs
+++ b/crates/agent/src/control/tokens.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 
 use notchspool_consensus::Token;
-use notchspool_consensus::fence::{Fence, Pass};
+use notchspool_consensus::fencing::{Admission, Fence};
 
 const FORM: &str = "notchspool tokens 1";
 const LARGEST: u64 = 64 * 1024;
@@ -40,16 +40,18 @@
     }
 
     pub fn seen(&self, job: &str) -> Token {
-        self.fence.seen(job)
+        self.fence.highest(job)
     }
 
     /// Whether what came under this token may be done now.
     pub fn pass(&mut self, job: &str, token: Token) -> Result<(), String> {
         let mut raised = self.fence.clone();
-        match raised.pass(job, token) {
-            Pass::Fenced(seen) => Err(format!("token {} is older than {}, which was seen", token.0, seen.0)),
-            Pass::Known => Ok(()),
-            Pass::Raised => {
+        match raised.admit(job, token) {
+            Admission::Rejected(seen) => {
+                Err(format!("token {} is older than {}, which was seen", token.0, seen.0))
+            }
+            Admission::Current => Ok(()),
+            Admission::Raised => {
                 // Guards against a restart that forgets it: first the disk, then what it allows.
                 self.keep(&raised)?;
                 self.fence = raised;
@@ -60,7 +62,7 @@
 
     /// What the voters say was seen by a majority of them.
     pub fn learn(&mut self, job: &str, token: Token) -> Result<(), String> {
-        if token > self.fence.seen(job) {
+        if token > self.fence.highest(job) {
             self.pass(job, token)?;
         } else {
             self.keep(&self.fence.clone())?;
--- a/crates/consensus/tests/drawn/main.rs
+++ b/crates/consensus/tests/drawn/main.rs
@@ -3,7 +3,7 @@
 mod world;
 
 use notchspool::units::Micros;
-use notchspool_consensus::owner::Loose;
+use notchspool_consensus::lease_owner::FaultInjection;
 use rstest::rstest;
 use world::{Without, World};
 
@@ -19,18 +19,20 @@
 #[case(3, 3)]
 #[case(5, 3)]
 fn whatever_fails_one_acts_and_nothing_written_is_lost(#[case] voters: usize, #[case] contenders: usize) {
-    let (mut opened, mut written, mut fenced, mut readmitted) = (0, 0, 0, 0);
+    let (mut acquired, mut written, mut fenced, mut readmitted) = (0, 0, 0, 0);
     for seed in 0..seeds(40) {
         let mut world = World::new(voters, contenders, seed, Without::default());
         world.play(SPAN);
-        assert_eq!(world.wrong, Vec::<String>::new(), "{voters} voters, seed {seed}");
-        opened += world.opened;
+        assert_eq!(world.violation, Vec::<String>::new(), "{voters} voters, seed {seed}");
+        acquired += world.acquired;
         written += world.written;
         fenced += world.fenced;
         readmitted += world.readmitted;
     }
-    println!("{voters} voters: {opened} owners, {written} writes, {fenced} fenced, {readmitted} readmitted");
-    assert!(opened > 100 && written > 1000, "something has to happen: {opened} {written}");
+    println!(
+        "{voters} voters: {acquired} owners, {written} writes, {fenced} fenced, {readmitted} readmitted"
+    );
+    assert!(acquired > 100 && written > 1000, "something has to happen: {acquired} {written}");
     assert!(
         fenced > 0 && (voters < 3 || readmitted > 0),
         "the hard cases have to come: {fenced} {readmitted}"
@@ -48,7 +50,7 @@
         world.outage(world::LEASE + world::LEASE);
         let until = world.later(Micros::ms(6_500));
         world.play(until);
-        assert_eq!(world.wrong, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(world.violation, Vec::<String>::new(), "seed {seed}");
         let next = world.owner().expect("within some leases of the outage's end somebody owns");
         (same, all) = (same + usize::from(next == owner), all + 1);
     }
@@ -61,16 +63,19 @@
     let found = (0..400).find_map(|seed| {
         let mut world = World::new(3, 3, seed, without);
         world.play(SPAN);
-        world.wrong.into_iter().find(|w| w.contains(word)).map(|w| (seed, w))
+        world.violation.into_iter().find(|w| w.contains(word)).map(|w| (seed, w))
     });
-    let (seed, wrong) = found.expect("a history without its safeguard has to be refused");
-    println!("seed {seed}: {wrong}");
+    let (seed, violation) = found.expect("a history without its safeguard has to be refused");
+    println!("seed {seed}: {violation}");
 }
 
 #[test]
 fn a_lease_counted_from_the_answer_is_refused() {
     refused(
-        Without { loose: Loose { from_answer: true, ..Loose::default() }, ..Without::default() },
+        Without {
+            faults: FaultInjection { lease_from_response: true, ..FaultInjection::default() },
+            ..Without::default()
+        },
         "two could act",
     );
 }
@@ -81,7 +86,10 @@
 #[test]
 fn a_state_opened_as_one_voter_tells_it_is_refused() {
     refused(
-        Without { loose: Loose { no_majority: true, ..Loose::default() }, ..Without::default() },
+        Without {
+            faults: FaultInjection { state_without_majority: true, ..FaultInjection::default() },
+            ..Without::default()
+        },
         "lacks it",
     );
 }
--- a/crates/consensus/tests/drawn/world.rs
+++ b/crates/consensus/tests/drawn/world.rs
@@ -3,10 +3,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use notchspool::units::Micros;
-use notchspool_consensus::fence::{Fence, Pass};
-use notchspool_consensus::owner::{Contender, Event, Loose, Out};
-use notchspool_consensus::readmit::Readmission;
-use notchspool_consensus::voter::{Disk, Voter, Write};
+use notchspool_consensus::acceptor::{Acceptor, DiskWrite, DurableState};
+use notchspool_consensus::acceptor_recovery::Recovery;
+use notchspool_consensus::fencing::{Admission, Fence};
+use notchspool_consensus::lease_owner::{Contender, Effects, Event, FaultInjection};
 use notchspool_consensus::*;
 use oorandom::Rand64;
 
@@ -16,7 +16,7 @@
 /// What is taken out, to see that the judge misses it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Without {
-    pub loose: Loose,
+    pub faults: FaultInjection,
     pub fence: bool,
     /// A voter that lost its disk votes at once, as if it had never promised.
     pub readmission: bool,
@@ -24,17 +24,17 @@
 
 #[derive(Clone, Debug)]
 enum Message {
-    Ask { from: usize, life: ContenderId, no: u64, to: usize, ask: Ask },
-    Answer { to: usize, life: ContenderId, no: u64, from: usize, answer: Answer },
-    Readmit { from: usize, to: usize, attempt: u64, ask: Ask },
-    Readmitted { to: usize, from: usize, attempt: u64, life: u64, answer: Answer },
+    Ask { from: usize, incarnation: ContenderId, no: u64, to: usize, request: Request },
+    Answer { to: usize, incarnation: ContenderId, no: u64, from: usize, response: Response },
+    Readmit { from: usize, to: usize, attempt: u64, request: Request },
+    Readmitted { to: usize, from: usize, attempt: u64, incarnation: u64, response: Response },
     Effect { place: usize, token: Token, nth: u64 },
 }
 
 struct Seat {
-    disk: Disk,
-    voter: Option<Voter>,
-    blank: Option<Readmission>,
+    disk: DurableState,
+    voter: Option<Acceptor>,
+    blank: Option<Recovery>,
     /// Times that its disk was lost.
     attempt: u64,
     /// Down till then.
@@ -48,7 +48,7 @@
     crashed: Option<Micros>,
     /// What waits in its buffers while it is stopped.
     mail: Vec<Message>,
-    opened: Option<BTreeMap<String, String>>,
+    acquired: Option<BTreeMap<String, String>>,
     /// Numbers of writes and their keys, not yet said to be written.
     writing: BTreeMap<u64, String>,
 }
@@ -56,7 +56,7 @@
 pub struct World {
     now: Micros,
     chance: Rand64,
-    terms: Terms,
+    parameters: Parameters,
     without: Without,
     seats: Vec<Seat>,
     processes: Vec<Process>,
@@ -64,43 +64,51 @@
     sent: u64,
     fences: Vec<Fence>,
     cuts: BTreeMap<(usize, usize), Micros>,
-    lives: u64,
+    starts: u64,
     /// What was said to be written.
     acknowledged: BTreeSet<String>,
     owners: BTreeMap<Token, ContenderId>,
     effects: Vec<(usize, Token, u64)>,
     /// Faults are drawn.
     pub faulty: bool,
-    pub wrong: Vec<String>,
-    pub opened: u64,
+    pub violation: Vec<String>,
+    pub acquired: u64,
     pub written: u64,
     pub fenced: u64,
     pub readmitted: u64,
 }
 
-fn write(disk: &mut Disk, writes: Vec<Write>) {
-    let find = |disk: &mut Disk, space: &Space| match disk.spaces.iter().position(|s| s.0 == *space) {
-        Some(at) => at,
-        None => {
-            disk.spaces.push((space.clone(), Ballot::default(), Entries::new(), None));
-            disk.spaces.len() - 1
-        }
-    };
+fn write(disk: &mut DurableState, writes: Vec<DiskWrite>) {
+    let find =
+        |disk: &mut DurableState, space: &Space| match disk.spaces.iter().position(|s| s.space == *space) {
+            Some(at) => at,
+            None => {
+                disk.spaces.push(SpaceState {
+                    space: space.clone(),
+                    promised: Ballot::default(),
+                    entries: Entries::new(),
+                    lease: None,
+                });
+                disk.spaces.len() - 1
+            }
+        };
     for one in writes {
         match one {
-            Write::Promise(space, ballot) => {
+            DiskWrite::Promise(space, ballot) => {
                 let at = find(disk, &space);
-                disk.spaces[at].1 = ballot;
+                disk.spaces[at].promised = ballot;
             }
-            Write::Entry(space, key, entry) => {
+            DiskWrite::Entry(space, key, entry) => {
                 let at = find(disk, &space);
-                disk.spaces[at].2.insert(key, entry);
+                disk.spaces[at].entries.insert(key, entry);
             }
-            Write::Lease(space, lease) => {
+            DiskWrite::Lease(space, lease) => {
                 let at = find(disk, &space);
-                disk.spaces[at].3 = lease;
+                disk.spaces[at].lease = lease;
+            }
+            DiskWrite::Incarnation(voter, incarnation) => {
+                drop(disk.known_incarnations.insert(voter, incarnation))
             }
-            Write::Life(voter, life) => drop(disk.lives.insert(voter, life)),
         }
     }
 }
@@ -108,17 +116,17 @@
 impl World {
     pub fn new(voters: usize, contenders: usize, seed: u64, without: Without) -> World {
         let mut chance = Rand64::new(seed.into());
-        let terms = Terms::of(voters, LEASE);
+        let parameters = Parameters::new(voters, LEASE);
         let seat = |n: usize| Seat {
-            disk: Disk::default(),
-            voter: Some(Voter::open(VoterId(n as u16), terms, Disk::default(), Micros(0))),
+            disk: DurableState::default(),
+            voter: Some(Acceptor::open(VoterId(n as u16), parameters, DurableState::default(), Micros(0))),
             blank: None,
             attempt: 0,
             down: None,
         };
         let mut world = World {
             now: Micros(0),
-            terms,
+            parameters,
             without,
             seats: (0..voters).map(seat).collect(),
             processes: Vec::new(),
@@ -126,13 +134,13 @@
             sent: 0,
             fences: vec![Fence::default(); PLACES],
             cuts: BTreeMap::new(),
-            lives: 0,
+            starts: 0,
             acknowledged: BTreeSet::new(),
             owners: BTreeMap::new(),
             effects: Vec::new(),
             faulty: true,
-            wrong: Vec::new(),
-            opened: 0,
+            violation: Vec::new(),
+            acquired: 0,
             written: 0,
             fenced: 0,
             readmitted: 0,
@@ -148,7 +156,7 @@
                 stopped: None,
                 crashed: None,
                 mail: Vec::new(),
-                opened: None,
+                acquired: None,
                 writing: BTreeMap::new(),
             });
         }
@@ -157,11 +165,11 @@
     }
 
     fn contender(&mut self, rate: f64, n: usize) -> Contender {
-        self.lives += 1;
+        self.starts += 1;
         let now = self.now.times(rate);
-        let id = ContenderId(self.lives * 16 + n as u64);
-        let mut contender = Contender::new(id, &format!("k{n}"), "", "orders", self.terms, now, 0.5);
-        contender.loosen(self.without.loose);
+        let id = ContenderId(self.starts * 16 + n as u64);
+        let mut contender = Contender::new(id, &format!("k{n}"), "", "orders", self.parameters, now, 0.5);
+        contender.inject_faults(self.without.faults);
         contender
     }
 
@@ -173,7 +181,7 @@
     }
 
     fn send(&mut self, ends: Option<(usize, usize)>, message: Message) {
-        let cut = ends.is_some_and(|ends| self.cuts.get(&ends).is_some_and(|till| *till > self.now));
+        let cut = ends.is_some_and(|ends| self.cuts.get(&ends).is_some_and(|until| *until > self.now));
         if cut || self.chance(0.04) {
             return;
         }
@@ -187,35 +195,39 @@
         }
     }
 
-    fn out(&mut self, n: usize, out: Out) {
-        let life = self.processes[n].contender.id;
-        for post in out.posts {
+    fn out(&mut self, n: usize, out: Effects) {
+        let incarnation = self.processes[n].contender.id;
+        for post in out.messages {
             let to = usize::from(post.to.0);
-            self.send(Some((100 + n, to)), Message::Ask { from: n, life, no: post.no, to, ask: post.ask });
+            self.send(
+                Some((100 + n, to)),
+                Message::Ask { from: n, incarnation, no: post.number, to, request: post.request },
+            );
         }
         for event in out.events {
             match event {
-                Event::Opened { token, entries } => {
-                    self.opened += 1;
-                    if let Some(other) = self.owners.insert(token, life)
-                        && other != life
+                Event::Acquired { token, entries } => {
+                    self.acquired += 1;
+                    if let Some(other) = self.owners.insert(token, incarnation)
+                        && other != incarnation
                     {
-                        self.wrong.push(format!("token {} had two owners", token.0));
+                        self.violation.push(format!("token {} had two owners", token.0));
                     }
                     let lost = self.acknowledged.iter().find(|key| !entries.contains_key(*key));
                     if let Some(lost) = lost {
-                        self.wrong.push(format!("{lost} was said to be written; owner {} lacks it", token.0));
+                        self.violation
+                            .push(format!("{lost} was said to be written; owner {} lacks it", token.0));
                     }
-                    self.processes[n].opened = Some(entries);
+                    self.processes[n].acquired = Some(entries);
                 }
-                Event::Written(nth) => {
+                Event::Committed(nth) => {
                     self.written += 1;
                     let later = self.processes[n].writing.split_off(&(nth + 1));
                     let done = std::mem::replace(&mut self.processes[n].writing, later);
                     self.acknowledged.extend(done.into_values());
                 }
                 Event::Lost(_) => {
-                    self.processes[n].opened = None;
+                    self.processes[n].acquired = None;
                     self.processes[n].writing.clear();
                 }
             }
@@ -225,52 +237,55 @@
     fn deliver(&mut self, message: Message) {
         let now = self.now;
         match message {
-            Message::Ask { from, life, no, to, ask } => {
+            Message::Ask { from, incarnation, no, to, request } => {
                 let seat = &mut self.seats[to];
                 let Some(voter) = seat.voter.as_mut() else { return };
-                let (answer, writes) = voter.hear(now, &ask);
+                let (response, writes) = voter.handle(now, &request);
                 write(&mut seat.disk, writes);
-                voter.answered(now, &ask);
-                self.send(Some((to, 100 + from)), Message::Answer { to: from, life, no, from: to, answer });
+                voter.on_response_sent(now, &request);
+                self.send(
+                    Some((to, 100 + from)),
+                    Message::Answer { to: from, incarnation, no, from: to, response },
+                );
             }
-            Message::Answer { to, life, no, from, answer } => {
-                if self.processes[to].contender.id != life {
+            Message::Answer { to, incarnation, no, from, response } => {
+                if self.processes[to].contender.id != incarnation {
                     return;
                 }
                 let draw = self.chance.rand_float();
                 let process = &mut self.processes[to];
                 let at = now.times(process.rate);
-                let out = process.contender.hear(at, draw, VoterId(from as u16), no, answer);
+                let out = process.contender.on_response(at, draw, VoterId(from as u16), no, response);
                 self.out(to, out);
             }
-            Message::Readmit { from, to, attempt, ask } => {
+            Message::Readmit { from, to, attempt, request } => {
                 let seat = &mut self.seats[to];
                 let Some(voter) = seat.voter.as_mut() else { return };
-                let (answer, writes) = voter.hear(now, &ask);
+                let (response, writes) = voter.handle(now, &request);
                 write(&mut seat.disk, writes);
-                let Ask::Readmit { life, .. } = ask else { return };
+                let Request::Readmit { incarnation, .. } = request else { return };
                 self.send(
                     Some((to, from)),
-                    Message::Readmitted { to: from, from: to, attempt, life, answer },
+                    Message::Readmitted { to: from, from: to, attempt, incarnation, response },
                 );
             }
-            Message::Readmitted { to, from, attempt, life, answer } => {
+            Message::Readmitted { to, from, attempt, incarnation, response } => {
                 let seat = &mut self.seats[to];
                 // It would come on a connection of a process that is gone.
                 if attempt != seat.attempt {
                     return;
                 }
                 let Some(blank) = &mut seat.blank else { return };
-                if let Some(disk) = blank.hear(VoterId(from as u16), life, answer) {
+                if let Some(disk) = blank.on_response(VoterId(from as u16), incarnation, response) {
                     seat.blank = None;
                     seat.disk = disk.clone();
-                    seat.voter = Some(Voter::open(VoterId(to as u16), self.terms, disk, now));
+                    seat.voter = Some(Acceptor::open(VoterId(to as u16), self.parameters, disk, now));
                     self.readmitted += 1;
                 }
             }
             Message::Effect { place, token, nth } => {
-                let pass = self.fences[place].pass("orders", token);
-                if matches!(pass, Pass::Fenced(_)) {
+                let pass = self.fences[place].admit("orders", token);
+                if matches!(pass, Admission::Rejected(_)) {
                     self.fenced += 1;
                     if !self.without.fence {
                         return;
@@ -278,7 +293,8 @@
                 }
                 let newest = self.effects.iter().filter(|e| e.0 == place).map(|e| e.1).max();
                 if newest.is_some_and(|newest| newest > token) {
-                    self.wrong.push(format!("place {place}: an effect of {} after a newer owner's", token.0));
+                    self.violation
+                        .push(format!("place {place}: an effect of {} after a newer owner's", token.0));
                 }
                 self.effects.push((place, token, nth));
             }
@@ -294,19 +310,19 @@
         }
         if self.chance(0.002) && self.processes[n].crashed.is_none() {
             self.processes[n].crashed = Some(now + LEASE.times(self.chance.rand_float()));
-            self.processes[n].opened = None;
+            self.processes[n].acquired = None;
         }
         let v = self.below(self.seats.len());
-        let ill = self.seats.iter().filter(|s| s.voter.is_none()).count();
-        if self.chance(0.006) && ill + 1 < self.terms.majority() {
-            let whole = self.seats.iter().all(|s| s.blank.is_none());
+        let without_disk = self.seats.iter().filter(|s| s.voter.is_none()).count();
+        if self.chance(0.006) && without_disk + 1 < self.parameters.majority() {
+            let all_sound = self.seats.iter().all(|s| s.blank.is_none());
             self.seats[v].voter = None;
             self.seats[v].down = Some(now + LEASE.times(self.chance.rand_float()));
-            if whole && self.chance(0.5) {
-                self.seats[v].disk = Disk::default();
+            if all_sound && self.chance(0.5) {
+                self.seats[v].disk = DurableState::default();
                 self.seats[v].attempt += 1;
                 if !self.without.readmission {
-                    self.seats[v].blank = Some(Readmission::begin(VoterId(v as u16), self.terms));
+                    self.seats[v].blank = Some(Recovery::new(VoterId(v as u16), self.parameters));
                 }
             }
         }
@@ -338,7 +354,7 @@
 
     /// Plays so long, in steps of 5 ms; faults stop for the last fifth.
     pub fn play(&mut self, span: Micros) {
-        while self.now < span && self.wrong.is_empty() {
+        while self.now < span && self.violation.is_empty() {
             self.now = self.now + Micros::ms(5);
             if self.faulty && self.now < span.times(0.8) {
                 self.faults();
@@ -367,7 +383,7 @@
                 .filter_map(|p| p.contender.owns(now.times(p.rate)))
                 .collect();
             if owners.len() > 1 {
-                self.wrong.push(format!("at {} us two could act: {owners:?}", now.0));
+                self.violation.push(format!("at {} us two could act: {owners:?}", now.0));
             }
         }
     }
@@ -376,24 +392,24 @@
         let now = self.now;
         for v in 0..self.seats.len() {
             let seat = &mut self.seats[v];
-            if seat.down.is_some_and(|till| till <= now) {
+            if seat.down.is_some_and(|until| until <= now) {
                 seat.down = None;
                 if seat.blank.is_none() {
                     let disk = seat.disk.clone();
-                    seat.voter = Some(Voter::open(VoterId(v as u16), self.terms, disk, now));
+                    seat.voter = Some(Acceptor::open(VoterId(v as u16), self.parameters, disk, now));
                 }
             }
-            let asks = match &seat.blank {
+            let requests = match &seat.blank {
                 Some(blank) if seat.down.is_none() && now.0 % 50_000 == 0 => {
-                    (blank.open(), blank.ask(), seat.attempt)
+                    (blank.outstanding(), blank.request(), seat.attempt)
                 }
                 _ => continue,
             };
-            for to in asks.0 {
+            for to in requests.0 {
                 let to = usize::from(to.0);
                 self.send(
                     Some((v, to)),
-                    Message::Readmit { from: v, to, attempt: asks.2, ask: asks.1.clone() },
+                    Message::Readmit { from: v, to, attempt: requests.2, request: requests.1.clone() },
                 );
             }
         }
@@ -402,8 +418,8 @@
     fn process(&mut self, n: usize) {
         let now = self.now;
         let process = &mut self.processes[n];
-        if let Some(till) = process.crashed {
-            if till <= now {
+        if let Some(until) = process.crashed {
+            if until <= now {
                 let rate = process.rate;
                 let contender = self.contender(rate, n);
                 let process = &mut self.processes[n];
@@ -413,15 +429,18 @@
             }
             return;
         }
-        if let Some(till) = process.stopped {
-            if till > now {
+        if let Some(until) = process.stopped {
+            if until > now {
                 return;
             }
             process.stopped = None;
             // It wakes with its work half done: what it was about to send goes out before it looks at its clock, now and then.
             if self.chance(0.5)
-                && let Some(token) =
-                    self.processes[n].opened.as_ref().and(self.processes[n].contender.seen()).map(|o| o.token)
+                && let Some(token) = self.processes[n]
+                    .acquired
+                    .as_ref()
+                    .and(self.processes[n].contender.last_owner())
+                    .map(|o| o.token)
             {
                 self.effect(token);
             }
@@ -432,7 +451,7 @@
         let draw = self.chance.rand_float();
         let process = &mut self.processes[n];
         let at = now.times(process.rate);
-        let out = process.contender.pass(at, draw);
+        let out = process.contender.tick(at, draw);
         self.out(n, out);
         if self.processes[n].contender.owns(at).is_none() {
             return;
@@ -443,7 +462,7 @@
         }
         if self.chance(0.08) {
             self.sent += 1;
-            let (mut out, key) = (Out::default(), format!("w{}", self.sent));
+            let (mut out, key) = (Effects::default(), format!("w{}", self.sent));
             let changes = BTreeMap::from([(key.clone(), "1".to_owned()), ("head".into(), key.clone())]);
             if let Some(nth) = self.processes[n].contender.write(at, changes, &mut out) {
                 self.processes[n].writing.insert(nth, key);
--- a/crates/consensus/tests/sets.rs
+++ b/crates/consensus/tests/sets.rs
@@ -3,26 +3,27 @@
 use std::collections::BTreeSet;
 
 use notchspool::units::Micros;
-use notchspool_consensus::sets::{AskAll, Change, Member, Register, Reply, VoterSet};
+use notchspool_consensus::reconfiguration::{Progress, Reconfiguration, SuccessorRequest};
+use notchspool_consensus::voter_set::{Member, SuccessorRegister, SuccessorReply, VoterSet};
 use notchspool_consensus::{Ballot, ContenderId};
 
 fn set(number: u64, places: &[u8]) -> VoterSet {
     let member =
         |p: &u8| Member { address: format!("10.0.0.{p}:1"), incarnation: u64::from(*p), zone: "z".into() };
-    VoterSet::of(number, places.iter().map(member).collect())
+    VoterSet::new(number, places.iter().map(member).collect())
 }
 
 enum Way {
     Ask(usize, usize, Ballot, Option<VoterSet>),
-    Answer(usize, usize, Ballot, Reply),
+    Answer(usize, usize, Ballot, SuccessorReply),
 }
 
 struct World {
     voters: usize,
     now: Micros,
     /// In memory, and on disk.
-    registers: Vec<(Register, Register)>,
-    changes: Vec<Change>,
+    registers: Vec<(SuccessorRegister, SuccessorRegister)>,
+    changes: Vec<Reconfiguration>,
     way: Vec<Way>,
     decided: BTreeSet<String>,
     /// A safeguard that is off: a voter answers before its disk has it.
@@ -30,9 +31,10 @@
 }
 
 impl World {
-    fn ask(&mut self, by: usize, ask: Option<AskAll>) {
-        let Some(ask) = ask else { return };
-        self.way.extend(ask.places.iter().map(|p| Way::Ask(by, *p, ask.ballot, ask.next.clone())));
+    fn request(&mut self, by: usize, request: Option<SuccessorRequest>) {
+        let Some(request) = request else { return };
+        self.way
+            .extend(request.positions.iter().map(|p| Way::Ask(by, *p, request.ballot, request.next.clone())));
     }
 
     fn deliver(&mut self, at: usize, twice: bool, old: &VoterSet) {
@@ -51,8 +53,9 @@
                 self.way.push(Way::Answer(*by, *to, *ballot, reply));
             }
             Way::Answer(by, from, ballot, reply) => {
-                let (ask, decided) = self.changes[*by].hear(self.now, *from, *ballot, reply.clone(), 0.3);
-                self.ask(*by, ask);
+                let Progress { request, decided } =
+                    self.changes[*by].on_reply(self.now, *from, *ballot, reply.clone(), 0.3);
+                self.request(*by, request);
                 self.decided.extend(decided.map(|s| s.to_string()));
             }
         }
@@ -78,10 +81,10 @@
     for by in 0..3u8 {
         let mut next = all.clone();
         next[usize::from(by) % voters] = 20 + by;
-        let (change, ask) =
-            Change::begin(world.now, old.clone(), set(8, &next), ContenderId(u64::from(by) + 1), 0);
+        let (change, request) =
+            Reconfiguration::new(world.now, old.clone(), set(8, &next), ContenderId(u64::from(by) + 1), 0);
         world.changes.push(change);
-        world.ask(usize::from(by), Some(ask));
+        world.request(usize::from(by), Some(request));
     }
     for (pick, kind) in steps {
         world.now = world.now + Micros::ms(7);
@@ -96,8 +99,8 @@
             }
             2 | 3 => {
                 let by = usize::from(*pick) % 3;
-                let ask = world.changes[by].wake(world.now);
-                world.ask(by, ask);
+                let request = world.changes[by].tick(world.now);
+                world.request(by, request);
             }
             kind if !world.way.is_empty() => world.deliver(usize::from(*pick), kind == 4, &old),
             _ => {}
@@ -105,7 +108,7 @@
         if world.decided.len() > 1 {
             return Err(format!("two successors: {:?}", world.decided));
         }
-        let sealed = world.registers.iter().filter(|r| r.1.sealed()).count();
+        let sealed = world.registers.iter().filter(|r| r.1.is_sealed()).count();
         if !world.decided.is_empty() && sealed < old.majority() {
             return Err(format!("decided, and {sealed} sealed"));
         }
@@ -144,15 +147,15 @@
 fn a_sealed_voter_stays_so_and_what_can_follow_no_set_is_refused() {
     let old = set(7, &[1, 2, 3]);
     let ballot = |round| Ballot { round, by: ContenderId(1), ..Ballot::default() };
-    let mut register = Register::default();
-    for wrong in [set(9, &[1, 2, 3]), set(8, &[]), set(8, &[1, 1, 2])] {
-        assert!(matches!(register.accept(&old, ballot(1), &wrong).0, Reply::Refused(_)));
+    let mut register = SuccessorRegister::default();
+    for unfit in [set(9, &[1, 2, 3]), set(8, &[]), set(8, &[1, 1, 2])] {
+        assert!(matches!(register.accept(&old, ballot(1), &unfit).0, SuccessorReply::Rejected(_)));
     }
-    assert!(!register.sealed());
-    assert_eq!(register.accept(&old, ballot(2), &set(8, &[1, 2, 4])).0, Reply::Accepted);
-    assert!(matches!(register.accept(&old, ballot(1), &set(8, &[1, 2, 5])).0, Reply::Refused(_)));
+    assert!(!register.is_sealed());
+    assert_eq!(register.accept(&old, ballot(2), &set(8, &[1, 2, 4])).0, SuccessorReply::Accepted);
+    assert!(matches!(register.accept(&old, ballot(1), &set(8, &[1, 2, 5])).0, SuccessorReply::Rejected(_)));
     assert!(
-        matches!(register.prepare(ballot(3)).0, Reply::Promised(Some((_, next))) if next == set(8, &[1, 2, 4]))
+        matches!(register.prepare(ballot(3)).0, SuccessorReply::Promised(Some((_, next))) if next == set(8, &[1, 2, 4]))
     );
-    assert!(register.sealed() && !register.seal(&set(8, &[1, 2, 5])));
+    assert!(register.is_sealed() && !register.seal(&set(8, &[1, 2, 5])));
 }
--- a/crates/consensus/tests/walk.rs
+++ b/crates/consensus/tests/walk.rs
@@ -6,9 +6,9 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use notchspool::units::Micros;
-use notchspool_consensus::fence::{Fence, Pass};
-use notchspool_consensus::owner::{Contender, Event, Loose, Out};
-use notchspool_consensus::voter::{Disk, Voter, Write};
+use notchspool_consensus::acceptor::{Acceptor, DiskWrite, DurableState};
+use notchspool_consensus::fencing::{Admission, Fence};
+use notchspool_consensus::lease_owner::{Contender, Effects, Event, FaultInjection};
 use notchspool_consensus::*;
 use rstest::rstest;
 
@@ -27,8 +27,8 @@
     who: usize,
     voter: usize,
     no: u64,
-    ask: Option<Ask>,
-    answer: Option<Answer>,
+    request: Option<Request>,
+    response: Option<Response>,
     token: Token,
 }
 
@@ -49,12 +49,12 @@
 #[derive(Clone, Hash)]
 struct World {
     now: Micros,
-    voters: Vec<Voter>,
-    disks: Vec<(Vec<Whole>, u64)>,
+    voters: Vec<Acceptor>,
+    disks: Vec<(Vec<SpaceState>, u64)>,
     contenders: Vec<Contender>,
     stopped: Vec<bool>,
-    opened: Vec<Option<Token>>,
-    written: Vec<Option<(u64, Token)>>,
+    acquired: Vec<Option<Token>>,
+    committed: Vec<Option<(u64, Token)>>,
     did: Vec<bool>,
     /// Asked, and at no voter yet; and what comes late.
     fresh: Vec<Vec<Message>>,
@@ -64,20 +64,25 @@
     newest: Token,
     acknowledged: BTreeSet<String>,
     left: Budget,
-    wrong: Option<String>,
+    violation: Option<String>,
 }
 
-fn terms() -> Terms {
-    Terms { again: Micros::ms(60_000), drift_ppm: 0, turn: Micros::ms(20), ..Terms::of(3, LEASE) }
+fn parameters() -> Parameters {
+    Parameters {
+        retry_interval: Micros::ms(60_000),
+        drift_ppm: 0,
+        contender_turn: Micros::ms(20),
+        ..Parameters::new(3, LEASE)
+    }
 }
 
 impl World {
-    fn new(left: Budget, fenced: bool, loose: Loose) -> World {
-        let voter = |n| Voter::open(VoterId(n), terms(), Disk::default(), Micros(0));
+    fn new(left: Budget, fenced: bool, faults: FaultInjection) -> World {
+        let voter = |n| Acceptor::open(VoterId(n), parameters(), DurableState::default(), Micros(0));
         let contender = |n: u64| {
             let mut c =
-                Contender::new(ContenderId(n + 1), &format!("k{n}"), "", "j", terms(), Micros(0), 0.0);
-            c.loosen(loose);
+                Contender::new(ContenderId(n + 1), &format!("k{n}"), "", "j", parameters(), Micros(0), 0.0);
+            c.inject_faults(faults);
             c
         };
         World {
@@ -86,8 +91,8 @@
             disks: vec![(Vec::new(), 0); 3],
             contenders: (0..2).map(contender).collect(),
             stopped: vec![false; 2],
-            opened: vec![None; 2],
-            written: vec![None; 2],
+            acquired: vec![None; 2],
+            committed: vec![None; 2],
             did: vec![false; 2],
             fresh: Vec::new(),
             wire: Vec::new(),
@@ -96,55 +101,60 @@
             newest: Token(0),
             acknowledged: BTreeSet::new(),
             left,
-            wrong: None,
+            violation: None,
         }
     }
 
-    fn keep(&mut self, v: usize, writes: Vec<Write>) {
+    fn keep(&mut self, v: usize, writes: Vec<DiskWrite>) {
         let spaces = &mut self.disks[v].0;
         for one in writes {
             let of = match &one {
-                Write::Promise(s, _) | Write::Entry(s, _, _) | Write::Lease(s, _) => s.clone(),
-                Write::Life(..) => continue,
+                DiskWrite::Promise(s, _) | DiskWrite::Entry(s, _, _) | DiskWrite::Lease(s, _) => s.clone(),
+                DiskWrite::Incarnation(..) => continue,
             };
-            if !spaces.iter().any(|s| s.0 == of) {
-                spaces.push((of.clone(), Ballot::default(), Entries::new(), None));
+            if !spaces.iter().any(|s| s.space == of) {
+                spaces.push(SpaceState {
+                    space: of.clone(),
+                    promised: Ballot::default(),
+                    entries: Entries::new(),
+                    lease: None,
+                });
             }
-            let Some(kept) = spaces.iter_mut().find(|s| s.0 == of) else { continue };
+            let Some(record) = spaces.iter_mut().find(|s| s.space == of) else { continue };
             match one {
-                Write::Promise(_, ballot) => kept.1 = ballot,
-                Write::Entry(_, key, entry) => drop(kept.2.insert(key, entry)),
-                Write::Lease(_, lease) => kept.3 = lease,
-                Write::Life(..) => {}
+                DiskWrite::Promise(_, ballot) => record.promised = ballot,
+                DiskWrite::Entry(_, key, entry) => drop(record.entries.insert(key, entry)),
+                DiskWrite::Lease(_, lease) => record.lease = lease,
+                DiskWrite::Incarnation(..) => {}
             }
         }
     }
 
-    fn out(&mut self, who: usize, out: Out) {
+    fn out(&mut self, who: usize, out: Effects) {
         let mut fresh: BTreeMap<u64, Vec<Message>> = BTreeMap::new();
-        for post in out.posts {
-            let (voter, token) = (usize::from(post.to.0), Token(0));
-            let (no, ask) = (post.no, Some(post.ask));
-            let message = Message { kind: Kind::Ask, who, voter, no, ask, answer: None, token };
+        for message in out.messages {
+            let (voter, token) = (usize::from(message.to.0), Token(0));
+            let (no, request) = (message.number, Some(message.request));
+            let message = Message { kind: Kind::Ask, who, voter, no, request, response: None, token };
             fresh.entry(no).or_default().push(message);
         }
         self.fresh.extend(fresh.into_values());
         for event in out.events {
             match event {
-                Event::Opened { token, entries } => {
+                Event::Acquired { token, entries } => {
                     if let Some(lost) = self.acknowledged.iter().find(|k| !entries.contains_key(*k)) {
-                        self.wrong =
+                        self.violation =
                             Some(format!("{lost} was said to be written; owner {} lacks it", token.0));
                     }
-                    self.opened[who] = Some(token);
+                    self.acquired[who] = Some(token);
                 }
-                Event::Written(nth) => {
-                    if let Some((of, token)) = self.written[who].filter(|w| w.0 <= nth) {
+                Event::Committed(nth) => {
+                    if let Some((of, token)) = self.committed[who].filter(|w| w.0 <= nth) {
                         let _ = of;
                         self.acknowledged.insert(format!("w{}", token.0));
                     }
                 }
-                Event::Lost(_) => (self.opened[who], self.written[who]) = (None, None),
+                Event::Lost(_) => (self.acquired[who], self.committed[who]) = (None, None),
             }
         }
     }
@@ -152,37 +162,47 @@
     fn judge(&mut self) {
         let owners = self.contenders.iter().filter(|c| c.owns(self.now).is_some()).count();
         if owners > 1 {
-            self.wrong = Some("two could act".into());
+            self.violation = Some("two could act".into());
         }
         // The same messages in another order are the same world.
         self.wire.sort_by(|a, b| (&a.kind, a.who, a.voter, a.no).cmp(&(&b.kind, b.who, b.voter, b.no)));
     }
 
     fn deliver(&mut self, message: &Message, late: bool) {
-        let Message { kind, who, voter, no, ask, answer, token } = message.clone();
-        match (kind, ask, answer) {
-            (Kind::Ask, Some(ask), _) => {
-                let (answer, writes) = self.voters[voter].hear(self.now, &ask);
+        let Message { kind, who, voter, no, request, response, token } = message.clone();
+        match (kind, request, response) {
+            (Kind::Ask, Some(request), _) => {
+                let (response, writes) = self.voters[voter].handle(self.now, &request);
                 self.keep(voter, writes);
-                self.voters[voter].answered(self.now, &ask);
+                self.voters[voter].on_response_sent(self.now, &request);
                 if late || self.stopped[who] {
-                    let answer = Some(answer);
-                    self.wire.push(Message { kind: Kind::Answer, who, voter, no, ask: None, answer, token });
+                    let response = Some(response);
+                    self.wire.push(Message {
+                        kind: Kind::Answer,
+                        who,
+                        voter,
+                        no,
+                        request: None,
+                        response,
+                        token,
+                    });
                     return;
                 }
-                let out = self.contenders[who].hear(self.now, 0.0, VoterId(voter as u16), no, answer);
+                let out =
+                    self.contenders[who].on_response(self.now, 0.0, VoterId(voter as u16), no, response);
                 self.out(who, out);
             }
-            (Kind::Answer, _, Some(answer)) => {
-                let out = self.contenders[who].hear(self.now, 0.0, VoterId(voter as u16), no, answer);
+            (Kind::Answer, _, Some(response)) => {
+                let out =
+                    self.contenders[who].on_response(self.now, 0.0, VoterId(voter as u16), no, response);
                 self.out(who, out);
             }
             (Kind::Effect, ..) => {
-                if matches!(self.fence.pass("j", token), Pass::Fenced(_)) && self.fenced {
+                if matches!(self.fence.admit("j", token), Admission::Rejected(_)) && self.fenced {
                     return;
                 }
                 if token < self.newest {
-                    self.wrong = Some("an effect under an older token after a newer one".into());
+                    self.violation = Some("an effect under an older token after a newer one".into());
                 }
                 self.newest = self.newest.max(token);
             }
@@ -192,8 +212,8 @@
 
     /// What was asked last reaches these voters; `how`: nothing odd, late, its answer late, twice, at voter `v`.
     fn round(&mut self, n: usize, to: u32, how: u32, v: usize) {
-        let asked = self.fresh.remove(n);
-        for message in asked {
+        let messages = self.fresh.remove(n);
+        for message in messages {
             if to & (1 << message.voter) != 0 {
                 self.deliver(&message, how == 2 && message.voter == v);
             }
@@ -250,20 +270,20 @@
                 step(&|w| w.stopped[who] = false);
                 continue;
             }
-            if self.contenders[who].next() <= self.now {
+            if self.contenders[who].next_deadline() <= self.now {
                 step(&|w| {
-                    let out = w.contenders[who].pass(w.now, 0.0);
+                    let out = w.contenders[who].tick(w.now, 0.0);
                     w.out(who, out);
                 });
             }
             let owns = self.contenders[who].owns(self.now);
-            if let Some(token) = owns.filter(|_| self.left.acts > 0 && self.written[who].is_none()) {
+            if let Some(token) = owns.filter(|_| self.left.acts > 0 && self.committed[who].is_none()) {
                 step(&|w| {
                     w.left.acts -= 1;
-                    let mut out = Out::default();
+                    let mut out = Effects::default();
                     let changes = BTreeMap::from([(format!("w{}", token.0), "1".to_owned())]);
                     let nth = w.contenders[who].write(w.now, changes, &mut out);
-                    w.written[who] = nth.map(|nth| (nth, token));
+                    w.committed[who] = nth.map(|nth| (nth, token));
                     w.out(who, out);
                 });
             }
@@ -273,7 +293,7 @@
                     w.left.acts -= 1;
                     w.did[who] = true;
                     let (kind, no) = (Kind::Effect, 0);
-                    w.wire.push(Message { kind, who, voter: 0, no, ask: None, answer: None, token });
+                    w.wire.push(Message { kind, who, voter: 0, no, request: None, response: None, token });
                 });
             }
             if self.left.stops > 0 {
@@ -293,9 +313,13 @@
             for v in 0..3 {
                 step(&|w| {
                     w.left.falls -= 1;
-                    let (spaces, life) = w.disks[v].clone();
-                    let disk = Disk { life, lives: BTreeMap::new(), spaces };
-                    w.voters[v] = Voter::open(VoterId(v as u16), terms(), disk, w.now);
+                    let (spaces, incarnation) = w.disks[v].clone();
+                    let disk = DurableState {
+                        incarnation: incarnation,
+                        known_incarnations: BTreeMap::new(),
+                        spaces,
+                    };
+                    w.voters[v] = Acceptor::open(VoterId(v as u16), parameters(), disk, w.now);
                 });
             }
         }
@@ -313,8 +337,8 @@
     let mut seen = HashSet::from([key(&world)]);
     let mut open = vec![world];
     while let Some(world) = open.pop() {
-        if let Some(wrong) = &world.wrong {
-            return (seen.len(), false, Some(wrong.clone()));
+        if let Some(violation) = &world.violation {
+            return (seen.len(), false, Some(violation.clone()));
         }
         if seen.len() >= most {
             return (seen.len(), false, None);
@@ -338,23 +362,23 @@
 #[case::stops(Budget { stops: 1, ..ONE })]
 fn every_state_of_a_small_case_is_sound(#[case] left: Budget) {
     let most = std::env::var("NOTCHSPOOL_STATES").ok().and_then(|n| n.parse().ok()).unwrap_or(MOST);
-    let (states, whole, wrong) = walk(World::new(left.clone(), true, Loose::default()), most);
-    println!("{left:?}: {states} states, {}", if whole { "all there are" } else { "cut there" });
-    assert_eq!(wrong, None);
+    let (states, complete, violation) = walk(World::new(left.clone(), true, FaultInjection::default()), most);
+    println!("{left:?}: {states} states, {}", if complete { "all there are" } else { "cut there" });
+    assert_eq!(violation, None);
     assert!(states > 1_000, "a walk that goes nowhere shows nothing: {states}");
 }
 
 #[rstest]
-#[case::no_fence(ONE, false, Loose::default(), "older token")]
-#[case::lease_from_the_answer(Budget { late: 1, acts: 0, ..ONE }, true, Loose { from_answer: true, no_majority: false }, "two could act")]
-#[case::one_voter_alone(ONE, true, Loose { from_answer: false, no_majority: true }, "lacks it")]
+#[case::no_fence(ONE, false, FaultInjection::default(), "older token")]
+#[case::lease_from_the_answer(Budget { late: 1, acts: 0, ..ONE }, true, FaultInjection { lease_from_response: true, state_without_majority: false }, "two could act")]
+#[case::one_voter_alone(ONE, true, FaultInjection { lease_from_response: false, state_without_majority: true }, "lacks it")]
 fn the_walk_finds_what_each_safeguard_is_for(
     #[case] left: Budget,
     #[case] fenced: bool,
-    #[case] loose: Loose,
+    #[case] faults: FaultInjection,
     #[case] word: &str,
 ) {
-    let (states, _, wrong) = walk(World::new(left, fenced, loose), 1_000_000);
-    println!("{states} states: {wrong:?}");
-    assert!(wrong.is_some_and(|w| w.contains(word)));
+    let (states, _, violation) = walk(World::new(left, fenced, faults), 1_000_000);
+    println!("{states} states: {violation:?}");
+    assert!(violation.is_some_and(|w| w.contains(word)));
 }
--- a/crates/control-plane/src/office/config.rs
+++ b/crates/control-plane/src/office/config.rs
@@ -138,12 +138,12 @@
             return;
         }
         let State::Seated(voter) = &mut self.state else { return };
-        let (answer, writes) = voter.hear(now, &seats::asked(vote));
-        let yes = matches!(answer.said, Said::Promised { .. } | Said::Accepted);
+        let (answer, writes) = voter.handle(now, &seats::asked(vote));
+        let yes = matches!(answer.reply, Reply::Promised { .. } | Reply::Accepted);
         if yes && (!writes.is_empty() || owed) {
             // What was handed to the disk and is not known to be there goes with it once more.
             let mut deeds = Vec::new();
-            if let Some(kept) = voter.kept(&pen::space()) {
+            if let Some(kept) = voter.space(&pen::space()) {
                 deeds.push(Deed::Promise(kept.promised));
                 if let Some(entry) = kept.entries.get(KEY).filter(|_| owed || vote.body.is_some()) {
                     let version = VersionedConfig::read(&entry.value).map_or(0, |h| h.version);
@@ -168,7 +168,7 @@
         conn: Option<Conn>,
         number: u64,
         set: u64,
-        answer: Answer,
+        answer: Response,
         acts: &mut Vec<Act>,
     ) {
         let voter = match (&self.state, &self.frozen) {
@@ -192,7 +192,7 @@
     /// What is accepted here is newer than what is known to be chosen.
     pub(super) fn lags(&self) -> bool {
         let State::Seated(voter) = &self.state else { return true };
-        let entry = voter.kept(&pen::space()).and_then(|k| k.entries.get(KEY).cloned());
+        let entry = voter.space(&pen::space()).and_then(|k| k.entries.get(KEY).cloned());
         let accepted = entry.and_then(|e| VersionedConfig::read(&e.value)).map_or(0, |h| h.version);
         accepted > self.chosen.as_ref().map_or(0, |h| h.version)
     }
--- a/crates/control-plane/src/office/members.rs
+++ b/crates/control-plane/src/office/members.rs
@@ -3,7 +3,8 @@
 //! Nothing here moves a seat while nobody is there to take it. A suspicion never decides what was decided: it moves a seat at the worst,
 //! since the next set begins with all that a sealed majority of this one had.
 use super::*;
-use notchspool_consensus::sets::{AskAll, Change, MOST_MEMBERS, Member, Reply, VoterSet};
+use notchspool_consensus::reconfiguration::{Progress, Reconfiguration, SuccessorRequest};
+use notchspool_consensus::voter_set::{MAX_MEMBERS, Member, SuccessorReply, VoterSet};
 
 /// A member that said it ends is gone after this without a sign of it.
 const LEFT: Micros = Micros::ms(1_500);
@@ -63,7 +64,7 @@
 pub(super) fn from_wire(set: cues::Set) -> Option<VoterSet> {
     let member = |m: cues::Member| Member { address: m.address, incarnation: m.incarnation, zone: m.zone };
     let set = VoterSet { number: set.number, members: set.members.into_iter().map(member).collect() };
-    set.sound().then_some(set)
+    set.is_valid().then_some(set)
 }
 
 impl Office {
@@ -170,7 +171,7 @@
     /// Machines that could take a seat, those of zones with few members first.
     fn spares(&self, now: Micros) -> Vec<Member> {
         let free = self.cores.iter().filter(|(address, core)| {
-            core.counted && !core.leaving && now - core.heard < REACH && self.set.place(address).is_none()
+            core.counted && !core.leaving && now - core.heard < REACH && self.set.position(address).is_none()
         });
         free.map(|(address, core)| Member {
             address: address.clone(),
@@ -262,8 +263,8 @@
     /// Up to `2f + 1` members, or as many as bear the loss of a zone; odd.
     fn growth(&self, now: Micros, members: Vec<Member>, mut spares: Vec<Member>) -> Option<Wish> {
         let zones = self.tolerate.zones > 0 && !Office::bears_a_zone(&members);
-        let least = (2 * self.tolerate.machines + 1).min(MOST_MEMBERS);
-        if members.len() >= least && !(zones && members.len() + 2 <= MOST_MEMBERS) {
+        let least = (2 * self.tolerate.machines + 1).min(MAX_MEMBERS);
+        if members.len() >= least && !(zones && members.len() + 2 <= MAX_MEMBERS) {
             return None;
         }
         let mut next = members;
@@ -311,7 +312,7 @@
         if now - since < wish.wait + RANK.times(rank as f64) || !self.reaches_most(now) {
             return;
         }
-        let next = VoterSet::of(self.set.number + 1, wish.members);
+        let next = VoterSet::new(self.set.number + 1, wish.members);
         if self.proposed != next.number {
             self.proposed = next.number;
             acts.push(Act::Log(format!("members: propose set {}: {}", next.number, wish.why)));
@@ -321,18 +322,18 @@
 
     fn propose(&mut self, now: Micros, next: VoterSet, acts: &mut Vec<Act>) {
         let above = self.register.promised.round;
-        let (change, ask) = Change::begin(now, self.set.clone(), next, ContenderId(self.life), above);
+        let (change, ask) = Reconfiguration::new(now, self.set.clone(), next, ContenderId(self.life), above);
         self.change = Some(change);
         self.ask_change(now, ask, acts);
     }
 
-    fn ask_change(&mut self, now: Micros, ask: AskAll, acts: &mut Vec<Act>) {
+    fn ask_change(&mut self, now: Micros, ask: SuccessorRequest, acts: &mut Vec<Act>) {
         let change = cues::Change {
             set: self.set.number,
             ballot: seats::told(ask.ballot),
             next: ask.next.as_ref().map(to_wire),
         };
-        for place in ask.places {
+        for place in ask.positions {
             if Some(place) == self.own_place() {
                 self.asked_change(now, None, change.clone(), acts);
             } else if let Some((conn, _)) = self.peers.get(&place) {
@@ -361,9 +362,9 @@
             None => self.register.prepare(ballot),
             Some(next) => {
                 let Some(next) = from_wire(next) else { return };
-                let was = self.register.sealed();
+                let was = self.register.is_sealed();
                 let answer = self.register.accept(&self.set, ballot, &next);
-                if self.register.sealed() {
+                if self.register.is_sealed() {
                     self.sealed_at = Some(now + SEALED.times(1.0 + self.chance.rand_float()));
                     if !was {
                         acts.push(Act::Log(format!("members: sealed for set {}", next.number)));
@@ -400,11 +401,12 @@
         let Some(change) = self.change.as_mut().filter(|c| c.set().number == said.set) else { return };
         let next = said.next.and_then(from_wire);
         let reply = match said.vote {
-            1 => Reply::Promised(next.map(|set| (seats::ballot(said.under), set))),
-            2 => Reply::Accepted,
-            _ => Reply::Refused(seats::ballot(said.promised)),
+            1 => SuccessorReply::Promised(next.map(|set| (seats::ballot(said.under), set))),
+            2 => SuccessorReply::Accepted,
+            _ => SuccessorReply::Rejected(seats::ballot(said.promised)),
         };
-        let (ask, decided) = change.hear(now, said.voter as usize, seats::ballot(said.ballot), reply, jitter);
+        let Progress { request: ask, decided } =
+            change.on_reply(now, said.voter as usize, seats::ballot(said.ballot), reply, jitter);
         if let Some(ask) = ask {
             self.ask_change(now, ask, acts);
         }
@@ -417,10 +419,10 @@
     /// Time has passed for a change that is carried through here.
     pub(super) fn wake_change(&mut self, now: Micros, acts: &mut Vec<Act>) {
         if let Some(change) = &mut self.change {
-            if change.harmless() && !self.register.sealed() && now - change.began >= GIVEN_UP {
+            if change.is_revocable() && !self.register.is_sealed() && now - change.started_at >= GIVEN_UP {
                 self.change = None;
                 self.wished_at = None;
-            } else if let Some(ask) = change.wake(now) {
+            } else if let Some(ask) = change.tick(now) {
                 self.ask_change(now, ask, acts);
             }
         }
@@ -440,16 +442,16 @@
     /// The first start of all: every seed knows the first set by itself.
     pub(super) fn found(&mut self, now: Micros, seeds: &[String], acts: &mut Vec<Act>) {
         let set = VoterSet::first(seeds);
-        if !set.sound() {
+        if !set.is_valid() {
             return;
         }
         acts.push(Act::Log("members: first start of all".into()));
-        if set.place(&self.own).is_some() {
+        if set.position(&self.own).is_some() {
             self.incarnation = 0;
         }
         self.adopt(now, set, None, acts);
         if let Some(own) = self.own_place() {
-            let voter = Voter::open(VoterId(own as u16), self.terms, Disk::default(), now);
+            let voter = Acceptor::open(VoterId(own as u16), self.terms, DurableState::default(), now);
             self.state = State::Settling(Box::new(voter));
             self.save_seat(Pending::Installed(self.set.number), acts);
         }
@@ -467,7 +469,7 @@
             self.previous = previous.filter(|p| p.number + 1 == set.number);
             return;
         }
-        if set.number <= self.set.number || !set.sound() {
+        if set.number <= self.set.number || !set.is_valid() {
             return;
         }
         // What this one voted in is over. Where it is the set just before, others may need what it has, and it is sealed first.
@@ -492,7 +494,7 @@
     fn retire(&mut self, old: &VoterSet) {
         let before = old.members.iter().chain(self.previous.iter().flat_map(|p| &p.members));
         for member in before {
-            let now = self.set.place(&member.address).map(|at| self.set.members[at].incarnation);
+            let now = self.set.position(&member.address).map(|at| self.set.members[at].incarnation);
             if now.is_some_and(|n| n != member.incarnation) {
                 let retired = self.retired.entry(member.address.clone()).or_default();
                 if !retired.contains(&member.incarnation) {
@@ -503,7 +505,7 @@
                 }
             }
         }
-        self.retired.retain(|address, _| self.set.place(address).is_some());
+        self.retired.retain(|address, _| self.set.position(address).is_some());
     }
 
     fn is_retired(&self, address: &str, incarnation: u64) -> bool {
@@ -560,14 +562,14 @@
 
     /// Whether it takes part in votes now.
     pub fn votes(&self) -> bool {
-        self.seated() && !self.register.sealed() && self.leaving.is_none()
+        self.seated() && !self.register.is_sealed() && self.leaving.is_none()
     }
 
     /// Whether a connection to this prompter is of use.
     pub fn wants(&self, address: &str) -> bool {
         self.set.number == 0
-            || self.set.place(address).is_some()
-            || self.previous.as_ref().is_some_and(|p| p.place(address).is_some())
+            || self.set.position(address).is_some()
+            || self.previous.as_ref().is_some_and(|p| p.position(address).is_some())
             || !self.reached
     }
 
@@ -585,17 +587,19 @@
     }
 }
 
-fn changed_wire(set: u64, place: usize, ballot: Ballot, reply: Reply) -> cues::Changed {
+fn changed_wire(set: u64, place: usize, ballot: Ballot, reply: SuccessorReply) -> cues::Changed {
     let blank =
         cues::Changed { set, voter: place as u32, ballot: seats::told(ballot), ..cues::Changed::default() };
     match reply {
-        Reply::Promised(accepted) => cues::Changed {
+        SuccessorReply::Promised(accepted) => cues::Changed {
             vote: 1,
             under: accepted.as_ref().and_then(|a| seats::told(a.0)),
             next: accepted.as_ref().map(|a| to_wire(&a.1)),
             ..blank
         },
-        Reply::Accepted => cues::Changed { vote: 2, ..blank },
-        Reply::Refused(promised) => cues::Changed { vote: 3, promised: seats::told(promised), ..blank },
+        SuccessorReply::Accepted => cues::Changed { vote: 2, ..blank },
+        SuccessorReply::Rejected(promised) => {
+            cues::Changed { vote: 3, promised: seats::told(promised), ..blank }
+        }
     }
 }
--- a/crates/control-plane/src/office/mod.rs
+++ b/crates/control-plane/src/office/mod.rs
@@ -3,9 +3,10 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use notchspool::units::Micros;
-use notchspool_consensus::sets::{Change, Register, VoterSet};
-use notchspool_consensus::voter::{Disk, Voter};
-use notchspool_consensus::{Answer, Ballot, ContenderId, Entry, Said, Terms, VoterId};
+use notchspool_consensus::acceptor::{Acceptor, DurableState};
+use notchspool_consensus::reconfiguration::Reconfiguration;
+use notchspool_consensus::voter_set::{SuccessorRegister, VoterSet};
+use notchspool_consensus::{Ballot, ContenderId, Entry, Parameters, Reply, Response, VoterId};
 use notchspool_endpoint_registry::board::Board;
 use notchspool_idempotency::rack::{Rack, Vote};
 use notchspool_mesh_config::digest::Digest;
@@ -74,7 +75,7 @@
 #[derive(Clone, Debug)]
 enum Pending {
     Claimed(Conn, Box<Claimed>),
-    Voted(Option<Conn>, u64, Box<(u64, Answer)>),
+    Voted(Option<Conn>, u64, Box<(u64, Response)>),
     /// An answer on the successor of a set.
     Changed(Option<Conn>, Box<cues::Changed>),
     /// The seal of a set that is over.
@@ -98,9 +99,9 @@
     /// It has a seat, and asks the others for what was decided so far.
     Installing,
     /// All is told, and on its way to the disk.
-    Settling(Box<Voter>),
+    Settling(Box<Acceptor>),
     /// It votes, unless it is sealed or leaves.
-    Seated(Voter),
+    Seated(Acceptor),
 }
 
 /// What a prompter starts with.
@@ -142,10 +143,10 @@
     /// Snapshots that others are being told, and those that are being told here, by address.
     sendings: VecDeque<Sending>,
     assemblies: BTreeMap<String, repair::Incoming>,
-    terms: Terms,
+    terms: Parameters,
     state: State,
     /// What it has of the successor of the set that it votes in, and whether that is on its way to the disk.
-    register: Register,
+    register: SuccessorRegister,
     register_owed: bool,
     /// Sealed: when the change is taken up from here.
     sealed_at: Option<Micros>,
@@ -156,7 +157,7 @@
     withdrawn: Vec<(String, cues::Ticket)>,
     gather_at: Micros,
     gather_wait: Micros,
-    change: Option<Change>,
+    change: Option<Reconfiguration>,
     wished_at: Option<Micros>,
     /// The last set that was proposed from here, for the log.
     proposed: u64,
@@ -216,8 +217,8 @@
     Own,
 }
 
-fn terms(voters: usize) -> Terms {
-    Terms { again: Micros::ms(150), ..Terms::of(voters.max(1), Micros::ms(3_000)) }
+fn terms(voters: usize) -> Parameters {
+    Parameters { retry_interval: Micros::ms(150), ..Parameters::new(voters.max(1), Micros::ms(3_000)) }
 }
 
 impl Office {
@@ -244,7 +245,7 @@
             assemblies: BTreeMap::new(),
             terms: terms(1),
             state: State::Unknown,
-            register: Register::default(),
+            register: SuccessorRegister::default(),
             register_owed: false,
             sealed_at: None,
             frozen: None,
@@ -282,7 +283,7 @@
             counts: Counts::default(),
         };
         match found.seat {
-            Some(seat) if seat.set.sound() => {
+            Some(seat) if seat.set.is_valid() => {
                 office.incarnation = seat.incarnation;
                 let line = format!(
                     "start with a disk of incarnation {:x}, {} claims",
@@ -295,9 +296,10 @@
                 office.state = State::Spare;
                 if let Some(own) = office.own_place() {
                     let entries = found.entry.clone().map(|e| (KEY.to_string(), e)).into_iter().collect();
-                    let spaces = vec![(pen::space(), found.promised, entries, None)];
-                    let disk = Disk { spaces, ..Disk::default() };
-                    office.state = State::Seated(Voter::open(VoterId(own as u16), office.terms, disk, now));
+                    let spaces = vec![(pen::space(), found.promised, entries, None).into()];
+                    let disk = DurableState { spaces, ..DurableState::default() };
+                    office.state =
+                        State::Seated(Acceptor::open(VoterId(own as u16), office.terms, disk, now));
                 }
                 office.own_read(now, &mut acts);
             }
@@ -347,7 +349,7 @@
     }
 
     fn own_place(&self) -> Option<usize> {
-        self.set.seat(&self.own, self.incarnation)
+        self.set.position_of(&self.own, self.incarnation)
     }
 
     fn save(&mut self, pending: Pending, deeds: Vec<Deed>, acts: &mut Vec<Act>) {
@@ -407,7 +409,7 @@
         let Some(address) = self.dialed.get(&conn).cloned() else { return };
         let guest = self.guests.entry(conn).or_insert_with(|| Guest { heard: now, ..Guest::default() });
         guest.core = Some(address.clone());
-        let at = self.set.place(&address);
+        let at = self.set.position(&address);
         guest.voter = at;
         let Some(at) = at else { return };
         self.peers.insert(at, (conn, guest.heard));
--- a/crates/control-plane/src/office/repair.rs
+++ b/crates/control-plane/src/office/repair.rs
@@ -29,7 +29,7 @@
 /// What this one had under the set before, in which it is sealed.
 pub(super) struct Frozen {
     pub set: VoterSet,
-    pub voter: Voter,
+    pub voter: Acceptor,
     pub seat: Seat,
     /// The seal is on the disk: what is told from here on can't grow any more.
     pub on_disk: bool,
@@ -97,9 +97,10 @@
             set: Some(members::to_wire(&self.set)),
             previous: self.previous.as_ref().map(members::to_wire),
         };
-        let of_before = |address: &String| self.previous.as_ref().is_some_and(|p| p.place(address).is_some());
+        let of_before =
+            |address: &String| self.previous.as_ref().is_some_and(|p| p.position(address).is_some());
         for (conn, address) in self.dialed.iter().filter(|d| only.is_none_or(|o| o == *d.0)) {
-            if self.set.place(address).is_none() && !of_before(address) {
+            if self.set.position(address).is_none() && !of_before(address) {
                 continue;
             }
             match self.assemblies.get_mut(address).filter(|i| i.assembly.size() > 0) {
@@ -177,14 +178,14 @@
         }
     }
 
-    pub(super) fn all_of(&self, now: Micros, voter: &Voter, set: u64) -> All {
-        let kept = voter.kept(&pen::space()).cloned().unwrap_or_default();
+    pub(super) fn all_of(&self, now: Micros, voter: &Acceptor, set: u64) -> All {
+        let kept = voter.space(&pen::space()).cloned().unwrap_or_default();
         let entry = kept.entries.get(KEY);
         All {
             voter: u32::from(voter.id.0),
             set,
             promised: seats::told(kept.promised),
-            under: entry.and_then(|e| seats::told(e.at)),
+            under: entry.and_then(|e| seats::told(e.ballot)),
             body: entry.map(|e| e.value.clone()),
             claims: self.rack.all(now),
         }
@@ -236,9 +237,9 @@
             let under = seats::ballot(all.under);
             kept.0 = kept.0.max(seats::ballot(all.promised)).max(under);
             if let Some(body) = &all.body
-                && kept.1.as_ref().is_none_or(|e| e.at < under)
+                && kept.1.as_ref().is_none_or(|e| e.ballot < under)
             {
-                kept.1 = Some(Entry { at: under, nth: 1, value: body.clone() });
+                kept.1 = Some(Entry { ballot: under, sequence: 1, value: body.clone() });
             }
             for claim in &all.claims {
                 // Two tickets for one key, told by two: either may have run, so both stand.
@@ -252,7 +253,7 @@
         let taken_back = self.withdrawn.iter().cloned().chain(gone).filter(|(key, t)| !rack.has(key, *t));
         let mut deeds: Vec<Deed> = taken_back.map(|(key, ticket)| Deed::Withdraw(key, ticket)).collect();
         let (promised, entry) = kept;
-        self.register = Register::default();
+        self.register = SuccessorRegister::default();
         let seat = self.seat();
         if self.frozen.is_some() {
             // It goes on, and has most of it on its disk: what comes on top is a history of the set before until the seat is there.
@@ -269,7 +270,7 @@
                 set: self.set.number,
                 seat: serde_json::to_vec(&seat).unwrap_or_default().into(),
                 promised: seats::told(promised),
-                under: entry.as_ref().and_then(|e| seats::told(e.at)),
+                under: entry.as_ref().and_then(|e| seats::told(e.ballot)),
                 body: entry.as_ref().map(|e| e.value.clone()),
                 claims: rack.all(now),
                 voter: own as u32,
@@ -277,8 +278,11 @@
         }
         self.rack = rack;
         let entries = entry.map(|e| (KEY.to_string(), e)).into_iter().collect();
-        let disk = Disk { spaces: vec![(pen::space(), promised, entries, None)], ..Disk::default() };
-        let voter = Voter::open(VoterId(own as u16), self.terms, disk, now);
+        let disk = DurableState {
+            spaces: vec![(pen::space(), promised, entries, None).into()],
+            ..DurableState::default()
+        };
+        let voter = Acceptor::open(VoterId(own as u16), self.terms, disk, now);
         self.state = State::Settling(Box::new(voter));
         deeds
     }
@@ -366,19 +370,26 @@
         let mut deeds = Vec::new();
         if let Some(body) = all.body {
             let under = seats::ballot(all.under);
-            let has =
-                voter.kept(&pen::space()).and_then(|k| k.entries.get(KEY)).is_some_and(|e| e.at >= under);
+            let has = voter
+                .space(&pen::space())
+                .and_then(|k| k.entries.get(KEY))
+                .is_some_and(|e| e.ballot >= under);
             if !has {
                 let changes = vec![(KEY.to_string(), body)];
                 let space = pen::space();
-                let ask =
-                    notchspool_consensus::Ask::Accept { space, ballot: under, nth: 1, changes, lease: None };
-                if voter.hear(now, &ask).0.said != Said::Accepted {
+                let ask = notchspool_consensus::Request::Accept {
+                    space,
+                    ballot: under,
+                    sequence: 1,
+                    changes,
+                    lease: None,
+                };
+                if voter.handle(now, &ask).0.reply != Reply::Accepted {
                     // Another round is under way above it: what comes of that is handed over next time.
                     return;
                 }
             }
-            if let Some(kept) = voter.kept(&pen::space()) {
+            if let Some(kept) = voter.space(&pen::space()) {
                 deeds.push(Deed::Promise(kept.promised));
                 let entry = kept.entries.get(KEY);
                 deeds.extend(entry.map(|e| {
--- a/crates/control-plane/src/seats.rs
+++ b/crates/control-plane/src/seats.rs
@@ -1,7 +1,7 @@
 //! Turns the registers' asks and answers (`notchspool_consensus`) into messages and back. Places are those of the set they are said under.
 use std::collections::BTreeMap;
 
-use notchspool_consensus::{Answer, Ask, Ballot, ContenderId, Entries, Entry, Said, Token, VoterId};
+use notchspool_consensus::{Ballot, ContenderId, Entries, Entry, Reply, Request, Response, Token, VoterId};
 use notchspool_mesh_config::pen::{self, KEY};
 use notchspool_mesh_protocol as cues;
 
@@ -15,55 +15,60 @@
 }
 
 fn entries(under: Option<cues::Ballot>, body: Option<String>) -> Entries {
-    let entry = body.map(|value| (KEY.to_string(), Entry { at: ballot(under), nth: 1, value }));
+    let entry = body.map(|value| (KEY.to_string(), Entry { ballot: ballot(under), sequence: 1, value }));
     entry.into_iter().collect()
 }
 
 /// A question to a voter; none for what the mesh never asks.
-pub fn vote(set: u64, number: u64, ask: &Ask) -> Option<cues::Vote> {
+pub fn vote(set: u64, number: u64, ask: &Request) -> Option<cues::Vote> {
     match ask {
-        Ask::Prepare { ballot, .. } => Some(cues::Vote { number, ballot: told(*ballot), body: None, set }),
-        Ask::Accept { ballot, changes, .. } => {
+        Request::Prepare { ballot, .. } => {
+            Some(cues::Vote { number, ballot: told(*ballot), body: None, set })
+        }
+        Request::Accept { ballot, changes, .. } => {
             let body = changes.first().map(|c| c.1.clone());
             Some(cues::Vote { number, ballot: told(*ballot), body, set })
         }
-        Ask::Look { .. } | Ask::Readmit { .. } => None,
+        Request::Read { .. } | Request::Readmit { .. } => None,
     }
 }
 
-pub fn asked(vote: &cues::Vote) -> Ask {
+pub fn asked(vote: &cues::Vote) -> Request {
     let (space, ballot) = (pen::space(), ballot(vote.ballot));
     match &vote.body {
-        None => Ask::Prepare { space, ballot },
+        None => Request::Prepare { space, ballot },
         Some(body) => {
             let changes = vec![(KEY.to_string(), body.clone())];
-            Ask::Accept { space, ballot, nth: 1, changes, lease: None }
+            Request::Accept { space, ballot, sequence: 1, changes, lease: None }
         }
     }
 }
 
 /// A voter's answer as a message.
-pub fn voted(number: u64, set: u64, voter: VoterId, answer: &Answer) -> cues::Voted {
+pub fn voted(number: u64, set: u64, voter: VoterId, answer: &Response) -> cues::Voted {
     let blank = cues::Voted { number, set, voter: u32::from(voter.0), ..cues::Voted::default() };
-    match &answer.said {
-        Said::Promised { entries } => {
+    match &answer.reply {
+        Reply::Promised { entries } => {
             let entry = entries.get(KEY);
-            let under = entry.and_then(|e| told(e.at));
+            let under = entry.and_then(|e| told(e.ballot));
             cues::Voted { vote: 1, under, body: entry.map(|e| e.value.clone()), ..blank }
         }
-        Said::Accepted => cues::Voted { vote: 2, ..blank },
-        Said::Refused { promised, .. } => cues::Voted { vote: 3, promised: told(*promised), ..blank },
+        Reply::Accepted => cues::Voted { vote: 2, ..blank },
+        Reply::Rejected { promised, .. } => cues::Voted { vote: 3, promised: told(*promised), ..blank },
         _ => blank,
     }
 }
 
-pub fn answer(voted: cues::Voted) -> (VoterId, Answer) {
+pub fn answer(voted: cues::Voted) -> (VoterId, Response) {
     let said = match voted.vote {
-        1 => Said::Promised { entries: entries(voted.under, voted.body) },
-        2 => Said::Accepted,
-        3 => Said::Refused { promised: ballot(voted.promised), owner: String::new() },
-        _ => Said::NoVote { why: String::new() },
+        1 => Reply::Promised { entries: entries(voted.under, voted.body) },
+        2 => Reply::Accepted,
+        3 => Reply::Rejected { promised: ballot(voted.promised), owner: String::new() },
+        _ => Reply::Unavailable { reason: String::new() },
     };
     // Sets are numbered, so that no answer needs the lives of disks that the keeper's voters tell.
-    (VoterId(voted.voter.min(u32::from(u16::MAX)) as u16), Answer { life: 0, lives: BTreeMap::new(), said })
+    (
+        VoterId(voted.voter.min(u32::from(u16::MAX)) as u16),
+        Response { incarnation: 0, known_incarnations: BTreeMap::new(), reply: said },
+    )
 }
--- a/crates/fleet-controller/src/core.rs
+++ b/crates/fleet-controller/src/core.rs
@@ -5,9 +5,9 @@
 use notchspool::units::Micros;
 use notchspool_command_controller::{Office, Tell, notes};
 use notchspool_commands::{InstanceId, Revision};
-use notchspool_consensus::owner::{Contender, Event, Out};
-use notchspool_consensus::readmit::Readmission;
-use notchspool_consensus::{Ask, ContenderId, OWNER, Owned, Space, VoterId};
+use notchspool_consensus::acceptor_recovery::Recovery;
+use notchspool_consensus::lease_owner::{Contender, Effects, Event};
+use notchspool_consensus::{ContenderId, OWNER_KEY, OwnerRecord, Request, Space, VoterId};
 use notchspool_fleet_protocol::{Body, Keeper, Message};
 use notchspool_leases::leases::Renewal;
 use oorandom::Rand64;
@@ -54,7 +54,7 @@
     seat: Seat,
     own_answers: mpsc::Sender<Answered>,
     peers: BTreeMap<VoterId, Peer>,
-    readmission: Option<Readmission>,
+    readmission: Option<Recovery>,
     readmit_at: Micros,
     contender: Contender,
     office: Option<Office>,
@@ -103,7 +103,7 @@
     let contender = Contender::new(id, &name, &place, JOB, file.terms, Micros(0), chance.rand_float());
     log::info!("{name}: keeper {} of {} at {}", file.place + 1, file.voters.len(), file.listen);
     let mut core = Core {
-        readmission: seat.how.is_blank().then(|| Readmission::begin(own, file.terms)),
+        readmission: seat.how.is_blank().then(|| Recovery::new(own, file.terms)),
         readmit_at: Micros(0),
         file,
         hold: start.hold,
@@ -215,7 +215,7 @@
         Micros(self.began.elapsed().as_micros() as i64)
     }
     fn wait(&self) -> Duration {
-        let mut next = self.contender.next();
+        let mut next = self.contender.next_deadline();
         if self.office.is_some() {
             next = next.min(self.ticked + TICK);
         }
@@ -251,30 +251,30 @@
         let now = self.now();
         if no & READMISSION != 0 {
             let life = no & !READMISSION;
-            if let Some(disk) = self.readmission.as_mut().and_then(|r| r.hear(from, life, answer)) {
+            if let Some(disk) = self.readmission.as_mut().and_then(|r| r.on_response(from, life, answer)) {
                 self.seat.readmitted(disk);
                 self.readmission = None;
             }
             return;
         }
         let draw = self.chance.rand_float();
-        let out = self.contender.hear(now, draw, from, no, answer);
+        let out = self.contender.on_response(now, draw, from, no, answer);
         self.out(out);
     }
 
-    fn out(&mut self, out: Out) {
-        for post in out.posts {
+    fn out(&mut self, out: Effects) {
+        for post in out.messages {
             if post.to == VoterId(self.file.place) {
-                let (tell, no, to) = (self.own_answers.clone(), post.no, post.to);
+                let (tell, no, to) = (self.own_answers.clone(), post.number, post.to);
                 let reply = Box::new(move |answer| drop(tell.try_send((to, no, answer))));
-                self.seat.ask(post.ask, reply);
+                self.seat.ask(post.request, reply);
             } else if let Some(peer) = self.peers.get(&post.to) {
-                peer.ask(post.no, post.ask);
+                peer.ask(post.number, post.request);
             }
         }
         for event in out.events {
             match event {
-                Event::Opened { token, entries } => {
+                Event::Acquired { token, entries } => {
                     let (seed, now) = (self.chance.rand_u64(), self.now());
                     let mut office = Office::open(self.file.office, token, &entries, seed, now);
                     office.due(&self.deadlines);
@@ -284,7 +284,7 @@
                     log::info!("owns {JOB} under token {}: {} instances", token.0, office.instances());
                     (self.office, self.ticked) = (Some(office), now);
                 }
-                Event::Written(nth) => {
+                Event::Committed(nth) => {
                     self.writes += 1;
                     let later = self.waiting.split_off(&(nth + 1));
                     for due in std::mem::replace(&mut self.waiting, later).into_values().flatten() {
@@ -342,14 +342,19 @@
     }
 
     /// What another owner writes comes by here: who it is, for those that ask; and its orders end at their time, whoever owns then.
-    fn overheard(&mut self, ask: &Ask) {
-        let Ask::Accept { space: Space::Owner(job) | Space::State(job), changes, .. } = ask else { return };
+    fn overheard(&mut self, ask: &Request) {
+        let Request::Accept { space: Space::Owner(job) | Space::State(job), changes, .. } = ask else {
+            return;
+        };
         if job != JOB {
             return;
         }
-        if matches!(ask, Ask::Accept { space: Space::Owner(_), .. }) {
-            let record = changes.iter().find(|(key, _)| key == OWNER).and_then(|(_, text)| Owned::read(text));
-            return record.into_iter().for_each(|record| self.contender.overhear(record));
+        if matches!(ask, Request::Accept { space: Space::Owner(_), .. }) {
+            let record = changes
+                .iter()
+                .find(|(key, _)| key == OWNER_KEY)
+                .and_then(|(_, text)| OwnerRecord::parse(text));
+            return record.into_iter().for_each(|record| self.contender.observe_owner(record));
         }
         let now = self.now();
         for (_, text) in changes.iter().filter(|(key, _)| key.starts_with("o/")) {
@@ -363,7 +368,7 @@
     }
 
     fn elsewhere(&self) -> Body {
-        let place = self.contender.seen().filter(|o| !o.released).and_then(|o| o.at.parse().ok());
+        let place = self.contender.last_owner().filter(|o| !o.released).and_then(|o| o.address.parse().ok());
         Body::Elsewhere { place: place.filter(|p| *p != self.file.place) }
     }
 
@@ -371,12 +376,12 @@
         let Message { no, body, from, .. } = message;
         match body {
             Body::Ask(ask) => {
-                if let Ask::Accept { space: Space::Owner(job), lease: Some(lease), .. } = &ask
+                if let Request::Accept { space: Space::Owner(job), lease: Some(lease), .. } = &ask
                     && job == JOB
-                    && lease.span_us == 0
+                    && lease.duration_us == 0
                 {
                     let (now, draw) = (self.now(), self.chance.rand_float());
-                    self.contender.let_go(now, draw);
+                    self.contender.on_release_observed(now, draw);
                 }
                 self.overheard(&ask);
                 let Some(say) = self.callers.get(&call).cloned() else { return };
@@ -403,13 +408,13 @@
     }
 
     fn own(&self) -> Keeper {
-        let seen = self.contender.seen().filter(|o| !o.released);
+        let seen = self.contender.last_owner().filter(|o| !o.released);
         Keeper {
             name: self.file.name.clone(),
             place: self.file.place,
             program: env!("CARGO_PKG_VERSION").into(),
             voter: self.seat.how.word().into(),
-            owner: seen.and_then(|o| Some((o.name.clone(), o.at.parse().ok()?, o.token))),
+            owner: seen.and_then(|o| Some((o.name.clone(), o.address.parse().ok()?, o.token))),
             owns: self.contender.owns(self.now()).is_some(),
             instances: self.office.as_ref().map_or(0, Office::instances),
             writes: self.writes,
@@ -487,7 +492,7 @@
     fn pass(&mut self) {
         let now = self.now();
         let draw = self.chance.rand_float();
-        let out = self.contender.pass(now, draw);
+        let out = self.contender.tick(now, draw);
         self.out(out);
         self.readmit(now);
         let owns = self.contender.owns(now).is_some();
@@ -508,7 +513,7 @@
             return;
         }
         self.point("write");
-        let mut out = Out::default();
+        let mut out = Effects::default();
         match self.contender.write(now, changes, &mut out) {
             Some(nth) => {
                 self.waiting.entry(nth).or_default().extend(due);
@@ -524,11 +529,11 @@
     fn readmit(&mut self, now: Micros) {
         let Some(readmission) = self.readmission.as_ref().filter(|_| self.readmit_at <= now) else { return };
         self.readmit_at = now + Micros::ms(200);
-        let (ask, open) = (readmission.ask(), readmission.open());
-        let Ask::Readmit { life, .. } = &ask else { return };
+        let (ask, open) = (readmission.request(), readmission.outstanding());
+        let Request::Readmit { incarnation, .. } = &ask else { return };
         for to in open {
             if let Some(peer) = self.peers.get(&to) {
-                peer.ask(READMISSION | life, ask.clone());
+                peer.ask(READMISSION | incarnation, ask.clone());
             }
         }
     }
--- a/crates/fleet-controller/src/disk.rs
+++ b/crates/fleet-controller/src/disk.rs
@@ -1,8 +1,8 @@
 //! A voter's disk: one file, changed in whole transactions that are on the disk before anything is answered.
 use std::path::{Path, PathBuf};
 
-use notchspool_consensus::voter::{Disk, Write};
-use notchspool_consensus::{Ballot, Entries, Entry, Lease, Space, VoterId};
+use notchspool_consensus::acceptor::{DiskWrite, DurableState};
+use notchspool_consensus::{Ballot, Entries, Entry, Space, SpaceState, VoterId};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 
 const KEPT: TableDefinition<&str, &str> = TableDefinition::new("kept");
@@ -19,7 +19,7 @@
 
 /// What is there at a start.
 pub enum Found {
-    Disk(Store, Disk),
+    Disk(Store, DurableState),
     /// Nothing, or nothing that can be read: what it had promised is gone.
     Nothing,
 }
@@ -37,17 +37,27 @@
         _ => None,
     }
 }
+/// A space of the disk that is read; empty at first.
+fn space_state(spaces: &mut std::collections::BTreeMap<Space, SpaceState>, space: Space) -> &mut SpaceState {
+    let empty = || SpaceState {
+        space: space.clone(),
+        promised: Ballot::default(),
+        entries: Entries::new(),
+        lease: None,
+    };
+    spaces.entry(space.clone()).or_insert_with(empty)
+}
 fn json<T: serde::Serialize>(value: &T) -> Result<String, String> {
     serde_json::to_string(value).map_err(|e| e.to_string())
 }
 
-fn pairs(writes: &[Write]) -> Result<Vec<(String, String)>, String> {
-    let pair = |write: &Write| {
+fn pairs(writes: &[DiskWrite]) -> Result<Vec<(String, String)>, String> {
+    let pair = |write: &DiskWrite| {
         Ok(match write {
-            Write::Promise(of, ballot) => (format!("p {}", space(of)), json(ballot)?),
-            Write::Entry(of, key, entry) => (format!("e {} {key}", space(of)), json(entry)?),
-            Write::Lease(of, lease) => (format!("l {}", space(of)), json(lease)?),
-            Write::Life(voter, life) => (format!("v {}", voter.0), json(life)?),
+            DiskWrite::Promise(of, ballot) => (format!("p {}", space(of)), json(ballot)?),
+            DiskWrite::Entry(of, key, entry) => (format!("e {} {key}", space(of)), json(entry)?),
+            DiskWrite::Lease(of, lease) => (format!("l {}", space(of)), json(lease)?),
+            DiskWrite::Incarnation(voter, life) => (format!("v {}", voter.0), json(life)?),
         })
     };
     writes.iter().map(pair).collect()
@@ -91,7 +101,7 @@
     }
 
     /// A new disk with this on it.
-    pub fn begin(folder: &Path, fleet: &str, place: u16, disk: &Disk) -> Result<Store, String> {
+    pub fn begin(folder: &Path, fleet: &str, place: u16, disk: &DurableState) -> Result<Store, String> {
         std::fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
         let owner = format!("{FORM} {fleet} {place}");
         let (path, new) = (folder.join("voter"), folder.join("voter.new"));
@@ -101,16 +111,18 @@
             let database = Some(Store::open_database(&new)?);
             let store = Store { path: new.clone(), owner: owner.clone(), database };
             let mut writes = Vec::new();
-            for (space, promised, entries, lease) in &disk.spaces {
-                writes.push(Write::Promise(space.clone(), *promised));
-                writes.push(Write::Lease(space.clone(), lease.clone()));
-                let entry = |(k, e): (&String, &Entry)| Write::Entry(space.clone(), k.clone(), e.clone());
+            for SpaceState { space, promised, entries, lease } in &disk.spaces {
+                writes.push(DiskWrite::Promise(space.clone(), *promised));
+                writes.push(DiskWrite::Lease(space.clone(), lease.clone()));
+                let entry = |(k, e): (&String, &Entry)| DiskWrite::Entry(space.clone(), k.clone(), e.clone());
                 writes.extend(entries.iter().map(entry));
             }
-            writes.extend(disk.lives.iter().map(|(voter, life)| Write::Life(*voter, *life)));
+            writes.extend(
+                disk.known_incarnations.iter().map(|(voter, life)| DiskWrite::Incarnation(*voter, *life)),
+            );
             let mut pairs = pairs(&writes)?;
             pairs.push(("form".into(), owner.clone()));
-            pairs.push(("life".into(), disk.life.to_string()));
+            pairs.push(("life".into(), disk.incarnation.to_string()));
             store.put(&pairs)?;
         }
         std::fs::rename(&new, &path).map_err(|e| format!("{}: {e}", path.display()))?;
@@ -136,19 +148,19 @@
     }
 
     /// All of it, or an error and none of it; then it has to be opened anew.
-    pub fn write(&self, writes: &[Write]) -> Result<(), String> {
+    pub fn write(&self, writes: &[DiskWrite]) -> Result<(), String> {
         if writes.is_empty() { Ok(()) } else { self.put(&pairs(writes)?) }
     }
 
     /// After an error: what is really on the disk, once it takes writes again.
-    pub fn again(&mut self) -> Result<Disk, String> {
+    pub fn again(&mut self) -> Result<DurableState, String> {
         self.database = None;
         self.database = Some(Store::open_database(&self.path)?);
         self.put(&[("form".into(), self.owner.clone())])?;
         Ok(self.read()?.0)
     }
 
-    fn read(&self) -> Result<(Disk, String), String> {
+    fn read(&self) -> Result<(DurableState, String), String> {
         let database = self.database.as_ref().ok_or("not open")?;
         let failed = |e: redb::Error| format!("{}: {e}", self.path.display());
         let mut all: Vec<(String, String)> = Vec::new();
@@ -162,35 +174,34 @@
             Ok(())
         };
         read(&mut all).map_err(failed)?;
-        let (mut disk, mut owner) = (Disk::default(), String::new());
-        let mut spaces: std::collections::BTreeMap<Space, (Ballot, Entries, Option<Lease>)> =
-            std::collections::BTreeMap::new();
+        let (mut disk, mut owner) = (DurableState::default(), String::new());
+        let mut spaces: std::collections::BTreeMap<Space, SpaceState> = std::collections::BTreeMap::new();
         for (key, value) in all {
             let wrong = || format!("{}: `{key}` can't be read", self.path.display());
             let mut words = key.splitn(3, ' ');
             match (words.next(), words.next(), words.next()) {
                 (Some("form"), None, None) => owner = value,
-                (Some("life"), None, None) => disk.life = value.parse().map_err(|_| wrong())?,
+                (Some("life"), None, None) => disk.incarnation = value.parse().map_err(|_| wrong())?,
                 (Some("v"), Some(voter), None) => {
                     let voter = VoterId(voter.parse().map_err(|_| wrong())?);
-                    disk.lives.insert(voter, value.parse().map_err(|_| wrong())?);
+                    disk.known_incarnations.insert(voter, value.parse().map_err(|_| wrong())?);
                 }
                 (Some("p"), Some(of), None) => {
-                    let kept = spaces.entry(space_of(of).ok_or_else(wrong)?).or_default();
-                    kept.0 = serde_json::from_str(&value).map_err(|_| wrong())?;
+                    let kept = space_state(&mut spaces, space_of(of).ok_or_else(wrong)?);
+                    kept.promised = serde_json::from_str(&value).map_err(|_| wrong())?;
                 }
                 (Some("l"), Some(of), None) => {
-                    let kept = spaces.entry(space_of(of).ok_or_else(wrong)?).or_default();
-                    kept.2 = serde_json::from_str(&value).map_err(|_| wrong())?;
+                    let kept = space_state(&mut spaces, space_of(of).ok_or_else(wrong)?);
+                    kept.lease = serde_json::from_str(&value).map_err(|_| wrong())?;
                 }
                 (Some("e"), Some(of), Some(name)) => {
-                    let kept = spaces.entry(space_of(of).ok_or_else(wrong)?).or_default();
-                    kept.1.insert(name.to_owned(), serde_json::from_str(&value).map_err(|_| wrong())?);
+                    let kept = space_state(&mut spaces, space_of(of).ok_or_else(wrong)?);
+                    kept.entries.insert(name.to_owned(), serde_json::from_str(&value).map_err(|_| wrong())?);
                 }
                 _ => return Err(wrong()),
             }
         }
-        disk.spaces = spaces.into_iter().map(|(s, (p, e, l))| (s, p, e, l)).collect();
+        disk.spaces = spaces.into_values().collect();
         Ok((disk, owner))
     }
 }
@@ -207,27 +218,41 @@
     }
     fn some() -> (Space, Ballot, Entry) {
         let ballot = Ballot { token: Token(3), round: 1, by: ContenderId(u64::MAX) };
-        (Space::State("orders".into()), ballot, Entry { at: ballot, nth: 9, value: "{\"a\": 1}".into() })
+        (
+            Space::State("orders".into()),
+            ballot,
+            Entry { ballot: ballot, sequence: 9, value: "{\"a\": 1}".into() },
+        )
     }
 
     #[test]
     fn what_is_written_is_there_after_a_restart_and_another_fleet_s_is_refused() {
         let folder = folder("kept");
-        let store = Store::begin(&folder, "f", 1, &Disk { life: 4, ..Disk::default() }).expect("begun");
+        let store =
+            Store::begin(&folder, "f", 1, &DurableState { incarnation: 4, ..DurableState::default() })
+                .expect("begun");
         let (space, ballot, entry) = some();
         store
             .write(&[
-                Write::Promise(space.clone(), ballot),
-                Write::Entry(space.clone(), "o/1".into(), entry.clone()),
-                Write::Life(VoterId(2), 7),
+                DiskWrite::Promise(space.clone(), ballot),
+                DiskWrite::Entry(space.clone(), "o/1".into(), entry.clone()),
+                DiskWrite::Incarnation(VoterId(2), 7),
             ])
             .expect("written");
         drop(store);
         let Found::Disk(store, disk) = Store::find(&folder, "f", 1).expect("found") else {
             panic!("it is there")
         };
-        assert_eq!((disk.life, disk.lives.get(&VoterId(2))), (4, Some(&7)));
-        assert_eq!(disk.spaces, [(space, ballot, Entries::from([("o/1".into(), entry)]), None)]);
+        assert_eq!((disk.incarnation, disk.known_incarnations.get(&VoterId(2))), (4, Some(&7)));
+        assert_eq!(
+            disk.spaces,
+            [SpaceState {
+                space,
+                promised: ballot,
+                entries: Entries::from([("o/1".into(), entry)]),
+                lease: None
+            }]
+        );
         drop(store);
         assert!(Store::find(&folder, "g", 1).is_err());
         assert!(Store::find(&folder, "f", 2).is_err());
@@ -237,7 +262,7 @@
     #[test]
     fn a_file_that_can_not_be_read_counts_as_lost_and_is_put_aside() {
         let folder = folder("torn");
-        drop(Store::begin(&folder, "f", 0, &Disk::default()).expect("begun"));
+        drop(Store::begin(&folder, "f", 0, &DurableState::default()).expect("begun"));
         let path = folder.join("voter");
         std::fs::write(&path, vec![7_u8; 5000]).expect("spoilt");
         assert!(matches!(Store::find(&folder, "f", 0), Ok(Found::Nothing)));
--- a/crates/fleet-controller/src/file.rs
+++ b/crates/fleet-controller/src/file.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 
 use notchspool::units::Micros;
-use notchspool_consensus::Terms;
+use notchspool_consensus::Parameters;
 use notchspool_leases::leases;
 use notchspool_settings::place::Mistake;
 use serde::Deserialize;
@@ -82,7 +82,7 @@
     pub voters: Vec<SocketAddr>,
     /// Its own place among them, from 0.
     pub place: u16,
-    pub terms: Terms,
+    pub terms: Parameters,
     pub office: notchspool_command_controller::Terms,
 }
 
@@ -164,7 +164,7 @@
     if !wrong.is_empty() {
         return Err(wrong);
     }
-    let terms = Terms::of(voters.len(), lease);
+    let terms = Parameters::new(voters.len(), lease);
     let (fleet, name) = (form.fleet.into_inner(), form.name.into_inner());
     Ok(File { fleet, name, listen, state: form.state, voters, place, terms, office })
 }
--- a/crates/fleet-controller/src/peers.rs
+++ b/crates/fleet-controller/src/peers.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use notchspool_consensus::{Answer, Ask, VoterId};
+use notchspool_consensus::{Request, Response, VoterId};
 use notchspool_fleet_protocol::{Body, Message};
 use tokio::net::TcpStream;
 use tokio::sync::{Semaphore, mpsc};
@@ -20,11 +20,11 @@
 const WAITING: usize = 256;
 
 pub struct Peer {
-    asks: mpsc::Sender<(u64, Ask)>,
+    asks: mpsc::Sender<(u64, Request)>,
 }
 
 /// An answer under the number of its ask.
-pub type Answered = (VoterId, u64, Answer);
+pub type Answered = (VoterId, u64, Response);
 
 pub struct Link {
     pub fleet: String,
@@ -44,7 +44,7 @@
         Peer { asks }
     }
 
-    async fn run(self, mut asked: mpsc::Receiver<(u64, Ask)>, answers: mpsc::Sender<Answered>) {
+    async fn run(self, mut asked: mpsc::Receiver<(u64, Request)>, answers: mpsc::Sender<Answered>) {
         let mut chance = oorandom::Rand64::new(self.seed.into());
         let mut wait = SOONEST;
         loop {
@@ -76,7 +76,7 @@
     async fn connected(
         &self,
         io: TcpStream,
-        asked: &mut mpsc::Receiver<(u64, Ask)>,
+        asked: &mut mpsc::Receiver<(u64, Request)>,
         answers: &mpsc::Sender<Answered>,
     ) -> Option<()> {
         let (mut lines, say) = calls::split(io, self.long.clone());
@@ -117,7 +117,7 @@
 }
 
 impl Peer {
-    pub fn ask(&self, no: u64, ask: Ask) {
+    pub fn ask(&self, no: u64, ask: Request) {
         let _ = self.asks.try_send((no, ask));
     }
 }
--- a/crates/fleet-controller/src/seat.rs
+++ b/crates/fleet-controller/src/seat.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, Instant};
 
 use notchspool::units::Micros;
-use notchspool_consensus::voter::{Disk, Voter};
-use notchspool_consensus::{Answer, Ask, Said, Terms, VoterId};
+use notchspool_consensus::acceptor::{Acceptor, DurableState};
+use notchspool_consensus::{Parameters, Reply, Request, Response, VoterId};
 
 use crate::disk::{Found, Store};
 
@@ -17,12 +17,12 @@
 /// A disk that could not be written to is tried again after this.
 const AGAIN: Duration = Duration::from_secs(1);
 
-pub type Reply = Box<dyn FnOnce(Answer) + Send>;
+pub type SendResponse = Box<dyn FnOnce(Response) + Send>;
 
 enum Order {
-    Ask(Ask, Reply),
+    Ask(Request, SendResponse),
     /// What the others told, after the disk was lost.
-    Readmitted(Disk),
+    Readmitted(DurableState),
 }
 
 /// How the voter is, for who asks: votes, blank, ill.
@@ -48,10 +48,10 @@
     fleet: String,
     folder: PathBuf,
     id: VoterId,
-    terms: Terms,
+    terms: Parameters,
     began: Instant,
     store: Option<Store>,
-    voter: Option<Voter>,
+    voter: Option<Acceptor>,
     why: String,
     tried: Instant,
     how: How,
@@ -63,7 +63,7 @@
         fleet: &str,
         folder: PathBuf,
         id: VoterId,
-        terms: Terms,
+        terms: Parameters,
         first: bool,
         began: Instant,
     ) -> Result<Seat, String> {
@@ -77,9 +77,10 @@
                 ));
             }
             (Found::Disk(store, disk), false) => (Some(store), Some(disk)),
-            (Found::Nothing, true) => {
-                (Some(Store::begin(&folder, fleet, id.0, &Disk::default())?), Some(Disk::default()))
-            }
+            (Found::Nothing, true) => (
+                Some(Store::begin(&folder, fleet, id.0, &DurableState::default())?),
+                Some(DurableState::default()),
+            ),
             (Found::Nothing, false) => (None, None),
         };
         let how = How::default();
@@ -94,7 +95,7 @@
             terms,
             began,
             store,
-            voter: disk.map(|disk| Voter::open(id, terms, disk, now)),
+            voter: disk.map(|disk| Acceptor::open(id, terms, disk, now)),
             why: "it lost its disk".into(),
             tried: began,
             how: how.clone(),
@@ -104,12 +105,12 @@
         Ok(Seat { orders, how })
     }
 
-    pub fn ask(&self, ask: Ask, reply: Reply) {
+    pub fn ask(&self, ask: Request, reply: SendResponse) {
         if let Err(TrySendError::Disconnected(_)) = self.orders.try_send(Order::Ask(ask, reply)) {
             log::error!("voter: its thread is gone");
         }
     }
-    pub fn readmitted(&self, disk: Disk) {
+    pub fn readmitted(&self, disk: DurableState) {
         let _ = self.orders.try_send(Order::Readmitted(disk));
     }
 }
@@ -143,11 +144,11 @@
         self.why = why.to_owned();
     }
 
-    fn hear(&mut self, asks: Vec<(Ask, Reply)>) {
+    fn hear(&mut self, asks: Vec<(Request, SendResponse)>) {
         let now = self.now();
         let no_vote = |why: &str| {
-            let said = Said::NoVote { why: why.to_owned() };
-            Answer { life: 0, lives: Default::default(), said }
+            let said = Reply::Unavailable { reason: why.to_owned() };
+            Response { incarnation: 0, known_incarnations: Default::default(), reply: said }
         };
         let (Some(voter), Some(store)) = (&mut self.voter, &self.store) else {
             let why = self.why.clone();
@@ -156,7 +157,7 @@
         };
         let (mut answers, mut writes) = (Vec::new(), Vec::new());
         for (ask, reply) in asks {
-            let (answer, wrote) = voter.hear(now, &ask);
+            let (answer, wrote) = voter.handle(now, &ask);
             writes.extend(wrote);
             answers.push((ask, reply, answer));
         }
@@ -165,7 +166,7 @@
             Ok(()) => {
                 let now = Micros(self.began.elapsed().as_micros() as i64);
                 for (ask, reply, answer) in answers {
-                    voter.answered(now, &ask);
+                    voter.on_response_sent(now, &ask);
                     reply(answer);
                 }
             }
@@ -190,22 +191,22 @@
         match store.again() {
             Ok(disk) => {
                 log::info!("voter: its disk takes writes again");
-                self.voter = Some(Voter::open(self.id, self.terms, disk, now));
+                self.voter = Some(Acceptor::open(self.id, self.terms, disk, now));
                 self.set(0, "");
             }
             Err(why) => self.set(2, &why),
         }
     }
 
-    fn begin(&mut self, disk: &Disk) {
+    fn begin(&mut self, disk: &DurableState) {
         if self.voter.is_some() || self.store.is_some() {
             return;
         }
         match Store::begin(&self.folder, &self.fleet, self.id.0, disk) {
             Ok(store) => {
-                log::info!("voter: readmitted, in life {}", disk.life);
+                log::info!("voter: readmitted, in life {}", disk.incarnation);
                 self.store = Some(store);
-                self.voter = Some(Voter::open(self.id, self.terms, disk.clone(), self.now()));
+                self.voter = Some(Acceptor::open(self.id, self.terms, disk.clone(), self.now()));
                 self.set(0, "");
             }
             Err(why) => {
--- a/crates/fleet-controller/tests/golden.rs
+++ b/crates/fleet-controller/tests/golden.rs
@@ -1,14 +1,14 @@
 //! A voter's disk recorded before the code was renamed: it is opened by its fleet and place, and holds what it held.
-use notchspool_consensus::voter::Disk;
+use notchspool_consensus::acceptor::DurableState;
 use notchspool_fleet_controller::disk::{Found, Store};
 
 /// All of it, without the names that the code has for it.
-fn described(disk: &Disk) -> String {
+fn described(disk: &DurableState) -> String {
     let spaces: Vec<String> = disk.spaces.iter().map(|space| serde_json::to_string(space).unwrap()).collect();
     format!(
         "life {}\nlives {}\n{}\n",
-        disk.life,
-        serde_json::to_string(&disk.lives).unwrap(),
+        disk.incarnation,
+        serde_json::to_string(&disk.known_incarnations).unwrap(),
         spaces.join("\n")
     )
 }
--- a/crates/fleet-protocol/src/lib.rs
+++ b/crates/fleet-protocol/src/lib.rs
@@ -11,7 +11,7 @@
 
 use notchspool_commands::book::State;
 use notchspool_commands::{Act, Epoch, InstanceId, Outcome, Revision};
-use notchspool_consensus::{Answer, Ask, Token};
+use notchspool_consensus::{Request, Response, Token};
 use serde::{Deserialize, Serialize};
 
 /// The form that is written. Read are this one and those in `READ`.
@@ -39,8 +39,8 @@
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Body {
     /// To a voter, and back.
-    Ask(Ask),
-    Answer(Answer),
+    Ask(Request),
+    Answer(Response),
     /// An agent begins a life. `life` is drawn at its start: asked twice, it is one life.
     Register {
         zone: String,
--- a/crates/lab/src/mesh/player.rs
+++ b/crates/lab/src/mesh/player.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use notchspool::units::Micros;
-use notchspool_consensus::sets::VoterSet;
+use notchspool_consensus::voter_set::VoterSet;
 use notchspool_consensus::{Ballot, ContenderId, Entry, Token};
 use notchspool_control_plane::office::{Act, Office, Opening, Tolerate};
 use notchspool_endpoint_registry::beats::Event as Call;
@@ -39,7 +39,7 @@
         match deed {
             Deed::Promise(ballot) => self.found.promised = self.found.promised.max(*ballot),
             Deed::Word(_, entry) => {
-                if self.found.entry.as_ref().is_none_or(|old| (old.at, old.nth) < (entry.at, entry.nth)) {
+                if self.found.entry.as_ref().is_none_or(|old| (old.ballot, old.sequence) < (entry.ballot, entry.sequence)) {
                     self.found.entry = Some(entry.clone());
                 }
             }
@@ -64,7 +64,7 @@
             let b = b.unwrap_or_default();
             Ballot { token: Token(0), round: b.round, by: ContenderId(b.by) }
         };
-        let entry = snapshot.body.clone().map(|value| Entry { at: told(snapshot.under), nth: 1, value });
+        let entry = snapshot.body.clone().map(|value| Entry { ballot: told(snapshot.under), sequence: 1, value });
         if breach != Breach::SealNotKept || self.found.seat.is_none() {
             self.found.seat = serde_json::from_slice(&snapshot.seat).ok();
         }
@@ -801,7 +801,7 @@
         let set = office.set().clone();
         if self.cores[at].ends
             || office.seated()
-            || set.seat(&self.cores[at].address, office.incarnation()).is_none()
+            || set.position_of(&self.cores[at].address, office.incarnation()).is_none()
         {
             return;
         }
@@ -1193,7 +1193,7 @@
         let newest = self.acked.last().copied().unwrap_or(0);
         for at in 0..self.cores.len() {
             let Some(office) = &self.cores[at].office else { continue };
-            if office.set().place(&self.cores[at].address).is_some() && !office.votes() {
+            if office.set().position(&self.cores[at].address).is_some() && !office.votes() {
                 self.wrong.push(format!("core-{} has a seat in {} and does not vote", at + 1, office.set()));
             }
             let id = self.read(at);
--- a/crates/leases/tests/conformance.rs
+++ b/crates/leases/tests/conformance.rs
@@ -7,7 +7,7 @@
 use notchspool::units::Micros;
 use notchspool_commands::Epoch;
 use notchspool_consensus::Token;
-use notchspool_consensus::fence::{Fence, Pass};
+use notchspool_consensus::fencing::{Admission, Fence};
 use notchspool_leases::leases::{Leases, Registered, Renewal, Standing, Terms};
 use table::{Row, names, rows};
 
@@ -112,7 +112,7 @@
             }
             "token" => {
                 let token = Token(words[1].parse().expect("a token"));
-                let passes = !matches!(self.fence.pass("job", token), Pass::Fenced(_));
+                let passes = !matches!(self.fence.admit("job", token), Admission::Rejected(_));
                 if passes != (words[2] == "passes") {
                     return Err(format!("it passes: {passes}"));
                 }
--- a/crates/mesh-config/src/pen.rs
+++ b/crates/mesh-config/src/pen.rs
@@ -13,8 +13,8 @@
 use std::collections::VecDeque;
 
 use notchspool::units::Micros;
-use notchspool_consensus::round::{Round, Verdict};
-use notchspool_consensus::{Answer, Ask, Ballot, ContenderId, Space, Terms, Token, VoterId};
+use notchspool_consensus::proposal::{Outcome, Proposal};
+use notchspool_consensus::{Ballot, ContenderId, Parameters, Request, Response, Space, Token, VoterId};
 
 use crate::digest::Digest;
 pub use crate::register::VersionedConfig;
@@ -45,7 +45,7 @@
 /// What the host does.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    Ask(VoterId, u64, Ask),
+    Ask(VoterId, u64, Request),
     /// The call's end.
     End(u64, End),
     /// More than half have it on disk; none: more than half have nothing. The round that found this began then.
@@ -89,14 +89,14 @@
 #[derive(Clone, Debug)]
 enum Phase {
     Idle,
-    Reading(Round, Ballot),
-    Writing(Round, Value),
+    Reading(Proposal, Ballot),
+    Writing(Proposal, Value),
     /// Refused: not before this.
     Pausing(Micros),
 }
 
 pub struct Proposer {
-    terms: Terms,
+    terms: Parameters,
     me: ContenderId,
     round: u64,
     number: u64,
@@ -109,7 +109,7 @@
 
 impl Proposer {
     /// `me`: drawn at the start of the process, never used before.
-    pub fn open(terms: Terms, me: ContenderId) -> Proposer {
+    pub fn open(terms: Parameters, me: ContenderId) -> Proposer {
         let phase = Phase::Idle;
         Proposer {
             terms,
@@ -128,7 +128,7 @@
     }
 
     /// The voters are others now: what was asked of the old ones is asked of these, from its beginning.
-    pub fn change(&mut self, terms: Terms) {
+    pub fn change(&mut self, terms: Parameters) {
         self.terms = terms;
         for call in self.served.drain(..).rev() {
             self.waiting.push_front(call);
@@ -145,11 +145,11 @@
         self.wake(now, 0.5)
     }
 
-    fn ask_all(&mut self, now: Micros, ask: Ask) -> (Round, Vec<Step>) {
+    fn ask_all(&mut self, now: Micros, ask: Request) -> (Proposal, Vec<Step>) {
         self.number += 1;
         let all = (0..self.terms.voters as u16).map(VoterId);
         let steps = all.map(|v| Step::Ask(v, self.number, ask.clone())).collect();
-        (Round::begin(self.number, ask, now, &self.terms), steps)
+        (Proposal::new(self.number, ask, now, &self.terms), steps)
     }
 
     fn begin(&mut self, now: Micros) -> Vec<Step> {
@@ -160,7 +160,7 @@
         }
         self.round += 1;
         let ballot = Ballot { token: Token(0), round: self.round, by: self.me };
-        let (round, steps) = self.ask_all(now, Ask::Prepare { space: space(), ballot });
+        let (round, steps) = self.ask_all(now, Request::Prepare { space: space(), ballot });
         self.phase = Phase::Reading(round, ballot);
         steps
     }
@@ -171,18 +171,18 @@
         now: Micros,
         from: VoterId,
         number: u64,
-        answer: Answer,
+        answer: Response,
         jitter: f64,
     ) -> Vec<Step> {
         let round = match &mut self.phase {
-            Phase::Reading(round, _) | Phase::Writing(round, _) if round.no == number => round,
+            Phase::Reading(round, _) | Phase::Writing(round, _) if round.number == number => round,
             _ => return Vec::new(),
         };
-        round.hear(from, answer);
-        match round.verdict(&self.terms) {
-            Verdict::Open => Vec::new(),
-            Verdict::No { promised, .. } => self.pause(now, promised, jitter),
-            Verdict::Yes => self.won(now),
+        round.on_response(from, answer);
+        match round.outcome(&self.terms) {
+            Outcome::Pending => Vec::new(),
+            Outcome::Rejected { promised, .. } => self.pause(now, promised, jitter),
+            Outcome::Granted => self.won(now),
         }
     }
 
@@ -197,10 +197,10 @@
     fn won(&mut self, now: Micros) -> Vec<Step> {
         match std::mem::replace(&mut self.phase, Phase::Idle) {
             Phase::Reading(round, ballot) => {
-                let mut value = round.merged().get(KEY).and_then(|e| Value::read(&e.value));
+                let mut value = round.merged_entries().get(KEY).and_then(|e| Value::read(&e.value));
                 if value.is_none() && !self.served.iter().any(|(_, order, _)| matches!(order, Order::Put(..)))
                 {
-                    return self.end(now, None, round.began);
+                    return self.end(now, None, round.started_at);
                 }
                 // Who waits by now is served too: it came before the write begins.
                 self.served.extend(self.waiting.drain(..));
@@ -212,14 +212,14 @@
                         }
                     }
                 }
-                let Some(value) = value else { return self.end(now, None, round.began) };
+                let Some(value) = value else { return self.end(now, None, round.started_at) };
                 let changes = vec![(KEY.to_string(), value.written())];
-                let ask = Ask::Accept { space: space(), ballot, nth: 1, changes, lease: None };
+                let ask = Request::Accept { space: space(), ballot, sequence: 1, changes, lease: None };
                 let (round, steps) = self.ask_all(now, ask);
                 self.phase = Phase::Writing(round, value);
                 steps
             }
-            Phase::Writing(round, value) => self.end(now, Some(value), round.began),
+            Phase::Writing(round, value) => self.end(now, Some(value), round.started_at),
             phase => {
                 self.phase = phase;
                 Vec::new()
@@ -256,14 +256,14 @@
             Phase::Pausing(until) if *until <= now => steps.extend(self.begin(now)),
             Phase::Pausing(_) => {}
             Phase::Reading(round, _) | Phase::Writing(round, _) => {
-                if let Verdict::No { promised, .. } = round.opposed()
-                    && now - round.began >= self.terms.again
+                if let Outcome::Rejected { promised, .. } = round.opposition()
+                    && now - round.started_at >= self.terms.retry_interval
                 {
                     // One stands against it and the others are silent: a higher ballot may do.
                     steps.extend(self.pause(now, promised, jitter));
                 } else {
-                    let (number, ask) = (round.no, round.ask.clone());
-                    let again = round.again(now, &self.terms);
+                    let (number, ask) = (round.number, round.request.clone());
+                    let again = round.due_retries(now, &self.terms);
                     steps.extend(again.into_iter().map(|v| Step::Ask(v, number, ask.clone())));
                 }
             }
--- a/crates/mesh-config/tests/word.rs
+++ b/crates/mesh-config/tests/word.rs
@@ -3,27 +3,27 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use notchspool::units::Micros;
-use notchspool_consensus::readmit::Readmission;
-use notchspool_consensus::voter::{Disk, Voter};
-use notchspool_consensus::{Answer, Ask, ContenderId, Said, Terms, VoterId};
+use notchspool_consensus::acceptor::{Acceptor, DurableState};
+use notchspool_consensus::acceptor_recovery::Recovery;
+use notchspool_consensus::{ContenderId, Parameters, Reply, Request, Response, VoterId};
 use notchspool_mesh_config::digest::Digest;
 use notchspool_mesh_config::pen::{self, End, KEY, Order, Proposer, Step, VersionedConfig};
 use notchspool_mesh_config::register::{REMEMBERED, Standing, Value};
 use quickcheck::{Gen, QuickCheck, TestResult};
 use rstest::rstest;
 
-const TERMS: Terms = Terms {
+const TERMS: Parameters = Parameters {
     voters: 3,
     lease: Micros::ms(3_000),
     drift_ppm: 5_000,
-    again: Micros::ms(150),
-    turn: Micros::ms(300),
+    retry_interval: Micros::ms(150),
+    contender_turn: Micros::ms(300),
 };
 
 #[derive(Clone, Debug)]
 enum Message {
-    Ask(Ask),
-    Answer(Answer),
+    Ask(Request),
+    Answer(Response),
 }
 
 /// One life of a process that proposes.
@@ -34,8 +34,8 @@
 
 /// A voter; one that lost its disk asks the others.
 enum Seat {
-    Votes(Box<Voter>),
-    Asks(Readmission),
+    Votes(Box<Acceptor>),
+    Asks(Recovery),
 }
 
 #[derive(Clone, Debug)]
@@ -66,14 +66,18 @@
     wrong: Option<String>,
 }
 
-fn voter(at: usize, disk: Disk, now: Micros) -> Seat {
-    Seat::Votes(Box::new(Voter::open(VoterId(at as u16), TERMS, disk, now)))
+fn voter(at: usize, disk: DurableState, now: Micros) -> Seat {
+    Seat::Votes(Box::new(Acceptor::open(VoterId(at as u16), TERMS, disk, now)))
 }
 
-fn disk(voter: &Voter) -> Disk {
-    let (life, lives) = voter.lives();
-    let kept = voter.kept(&pen::space()).cloned().unwrap_or_default();
-    Disk { life, lives: lives.clone(), spaces: vec![(pen::space(), kept.promised, kept.entries, kept.lease)] }
+fn disk(voter: &Acceptor) -> DurableState {
+    let (life, lives) = (voter.incarnation(), voter.known_incarnations());
+    let kept = voter.space(&pen::space()).cloned().unwrap_or_default();
+    DurableState {
+        incarnation: life,
+        known_incarnations: lives.clone(),
+        spaces: vec![(pen::space(), kept.promised, kept.entries, kept.lease).into()],
+    }
 }
 
 impl World {
@@ -82,7 +86,7 @@
         for at in 0..3 {
             let process = world.process();
             world.processes.push(process);
-            world.voters.push(voter(at, Disk::default(), Micros(0)));
+            world.voters.push(voter(at, DurableState::default(), Micros(0)));
         }
         world
     }
@@ -168,17 +172,17 @@
     fn deliver(&mut self, (at, life, from, number, what): Way) {
         match what {
             Message::Ask(mut ask) => {
-                if let Ask::Accept { changes, .. } = &mut ask {
+                if let Request::Accept { changes, .. } = &mut ask {
                     changes.iter_mut().for_each(|(_, text)| self.forget(text));
                 }
                 if let Seat::Votes(seat) = &mut self.voters[from as usize] {
                     // What it writes is on its disk before the answer leaves.
-                    let (answer, _) = seat.hear(self.now, &ask);
+                    let (answer, _) = seat.handle(self.now, &ask);
                     self.way.push((at, life, from, number, Message::Answer(answer)));
                 }
             }
             Message::Answer(mut answer) => {
-                if let Said::Promised { entries } = &mut answer.said
+                if let Reply::Promised { entries } = &mut answer.reply
                     && let Some(entry) = entries.get_mut(KEY)
                 {
                     self.forget(&mut entry.value);
@@ -206,17 +210,17 @@
             return;
         }
         let Seat::Asks(readmission) = &self.voters[at] else { return };
-        let ask = readmission.ask();
-        let Ask::Readmit { life, .. } = ask else { return };
+        let ask = readmission.request();
+        let Request::Readmit { incarnation, .. } = ask else { return };
         let now = self.now;
         let Seat::Votes(other) = &mut self.voters[from] else { return };
-        let (mut answer, _) = other.hear(now, &ask);
-        if matches!(answer.said, Said::OldLife { known } if known == life) {
+        let (mut answer, _) = other.handle(now, &ask);
+        if matches!(answer.reply, Reply::StaleIncarnation { known } if known == incarnation) {
             // Its first answer was for this life already: it is told again.
-            answer.said = Said::All { spaces: disk(other).spaces };
+            answer.reply = Reply::FullState { spaces: disk(other).spaces };
         }
         let Seat::Asks(readmission) = &mut self.voters[at] else { return };
-        if let Some(disk) = readmission.hear(VoterId(from as u16), life, answer) {
+        if let Some(disk) = readmission.on_response(VoterId(from as u16), incarnation, answer) {
             self.voters[at] = voter(at, disk, now);
         }
     }
@@ -257,7 +261,7 @@
             15 => {
                 let all = self.voters.iter().all(|v| matches!(v, Seat::Votes(_)));
                 if all && pick(3, 48) == 0 {
-                    self.voters[at] = Seat::Asks(Readmission::begin(VoterId(at as u16), TERMS));
+                    self.voters[at] = Seat::Asks(Recovery::new(VoterId(at as u16), TERMS));
                 } else {
                     self.readmit(at, pick(3, 48));
                 }
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -8,7 +8,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use notchspool_consensus::sets::{Register, VoterSet};
+use notchspool_consensus::voter_set::{SuccessorRegister, VoterSet};
 use notchspool_consensus::{Ballot, Entry};
 use notchspool_mesh_protocol::{Claim, Snapshot, Ticket};
 use serde::{Deserialize, Serialize};
@@ -52,7 +52,7 @@
     /// The set that is installed here, and the one before.
     pub set: VoterSet,
     pub previous: Option<VoterSet>,
-    pub register: Register,
+    pub register: SuccessorRegister,
 }
 
 /// All that was on the disk.
--- a/crates/storage/src/state.rs
+++ b/crates/storage/src/state.rs
@@ -3,7 +3,7 @@
 //! A snapshot is one file, `installed`. Once it is whole on the disk it counts, and nothing beside it: it is carried out (its parts written
 //! over their files, what it replaces removed) and then removed itself. Should the power be lost in between, it is carried out again at the
 //! next start, before anything is read; should a write fail, before anything else is written.
-use notchspool_consensus::sets::VoterSet;
+use notchspool_consensus::voter_set::VoterSet;
 use notchspool_consensus::{Ballot, ContenderId, Entry, Token};
 use notchspool_mesh_protocol::snapshot;
 use notchspool_mesh_protocol::{Claim, Snapshot};
@@ -32,7 +32,7 @@
 fn older(text: &[u8]) -> Option<Seat> {
     let OlderSeat { voters } = serde_json::from_slice(text).ok()?;
     let set = VoterSet::first(&voters);
-    set.sound().then(|| Seat { set, ..Seat::default() })
+    set.is_valid().then(|| Seat { set, ..Seat::default() })
 }
 
 /// The files of configurations accepted: ballot, version, name.
@@ -58,7 +58,7 @@
     // The version stands first in the line in front, alone or before what was taken earlier.
     let digits = value.bytes().take_while(u8::is_ascii_digit).count();
     let version = value[..digits].parse().unwrap_or(0);
-    Some((version, Entry { at: ballot(of.under), nth: 1, value }))
+    Some((version, Entry { ballot: ballot(of.under), sequence: 1, value }))
 }
 
 impl State {
@@ -93,8 +93,9 @@
             } else if name.starts_with(WORD)
                 && let Ok(word) = serde_json::from_slice::<WordFile>(&text)
             {
-                words.push((word.entry.at, word.version, name));
-                let newer = |old: &Entry| (old.at, old.nth) < (word.entry.at, word.entry.nth);
+                words.push((word.entry.ballot, word.version, name));
+                let newer =
+                    |old: &Entry| (old.ballot, old.sequence) < (word.entry.ballot, word.entry.sequence);
                 if found.entry.as_ref().is_none_or(newer) {
                     found.entry = Some(word.entry);
                 }
@@ -102,7 +103,7 @@
         }
         words.sort();
         // What was accepted had been promised, whatever became of that file.
-        found.promised = found.promised.max(found.entry.as_ref().map_or(Ballot::default(), |e| e.at));
+        found.promised = found.promised.max(found.entry.as_ref().map_or(Ballot::default(), |e| e.ballot));
         Ok((found, words))
     }
 
@@ -143,7 +144,7 @@
     }
 
     fn word(&mut self, version: u64, entry: Entry) -> Result<(), Broken> {
-        let (name, at) = (format!("{WORD}{version}"), entry.at);
+        let (name, at) = (format!("{WORD}{version}"), entry.ballot);
         let file = WordFile { version, entry };
         self.words.retain(|w| w.2 != name);
         self.words.push((at, version, name.clone()));
--- a/crates/storage/tests/install.rs
+++ b/crates/storage/tests/install.rs
@@ -2,7 +2,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use notchspool_consensus::sets::VoterSet;
+use notchspool_consensus::voter_set::VoterSet;
 use notchspool_consensus::{Ballot, ContenderId, Entry};
 use notchspool_mesh_protocol::snapshot::encode;
 use notchspool_mesh_protocol::{Claim, Snapshot, Ticket};
@@ -16,7 +16,7 @@
 }
 
 fn word(version: u64, round: u64) -> Deed {
-    Deed::Word(version, Entry { at: ballot(round), nth: 1, value: format!("{version}\nbody") })
+    Deed::Word(version, Entry { ballot: ballot(round), sequence: 1, value: format!("{version}\nbody") })
 }
 
 fn claim(key: &str) -> Deed {
@@ -83,7 +83,7 @@
     folder.write(&[claim("older"), withdraw("old"), withdraw("older"), install(5)]);
     let found = folder.found();
     assert_eq!((number(&found), found.promised), (Some(5), ballot(4)));
-    assert_eq!(found.entry.map(|e| e.at), Some(ballot(3)));
+    assert_eq!(found.entry.map(|e| e.ballot), Some(ballot(3)));
     assert_eq!(found.claims.iter().map(|c| c.key.as_str()).collect::<Vec<_>>(), ["new"]);
 }
 
@@ -116,7 +116,7 @@
     folder.write(&[word(4, 3), Deed::Promise(ballot(3)), seat(2)]);
     let found = folder.found();
     assert_eq!(
-        (number(&found), found.claims.len(), found.entry.map(|e| e.at)),
+        (number(&found), found.claims.len(), found.entry.map(|e| e.ballot)),
         (Some(2), 2, Some(ballot(3)))
     );
 }
@@ -131,7 +131,7 @@
     let all = ["10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"].map(String::from);
     let seat = found.seat.unwrap();
     assert_eq!((seat.incarnation, seat.set, seat.previous), (0, VoterSet::first(&all), None));
-    assert_eq!((found.promised, found.entry.map(|e| e.at)), (ballot(4), Some(ballot(3))));
+    assert_eq!((found.promised, found.entry.map(|e| e.ballot)), (ballot(4), Some(ballot(3))));
     std::fs::write(folder.0.join("seat"), sealed(br#"{"voters":[]}"#)).unwrap();
     assert_eq!(folder.found().seat, None);
 }
--- a/crates/storage/tests/state.rs
+++ b/crates/storage/tests/state.rs
@@ -4,7 +4,7 @@
 use std::io::Result;
 use std::sync::{Arc, Mutex};
 
-use notchspool_consensus::sets::VoterSet;
+use notchspool_consensus::voter_set::VoterSet;
 use notchspool_consensus::{Ballot, ContenderId, Entry, Token};
 use notchspool_mesh_protocol::snapshot::encode;
 use notchspool_mesh_protocol::{Claim, Snapshot, Ticket};
@@ -197,14 +197,14 @@
 
 fn word(version: u64, round: u64) -> Deed {
     let value = format!("{version}\n{{\"version\":{version}}}");
-    Deed::Word(version, Entry { at: ballot(round), nth: 1, value })
+    Deed::Word(version, Entry { ballot: ballot(round), sequence: 1, value })
 }
 
 /// What the voter begins with: seat, promise, version accepted.
 type View = (Option<Seat>, Ballot, Option<(Ballot, String)>);
 
 fn view(found: &notchspool_storage::Found) -> View {
-    (found.seat.clone(), found.promised, found.entry.as_ref().map(|e| (e.at, e.value.clone())))
+    (found.seat.clone(), found.promised, found.entry.as_ref().map(|e| (e.ballot, e.value.clone())))
 }
 
 fn claim(key: &str) -> Claim {
