--- a/crates/cli/tests/owner.rs
+++ b/crates/cli/tests/owner.rs
@@ -671,8 +671,13 @@
     say(&mut io, 0, told(1, Act::Reload, 5));
     let (mut asks, _) = listener.accept().expect("it asks what was seen");
     let asked = heard(&asks);
-    let said = notchspool_consensus::Reply::Current { promised: Default::default(), entries: Default::default() };
-    let answer = notchspool_consensus::Response { incarnation: 0, known_incarnations: Default::default(), reply: said };
+    let said =
+        notchspool_consensus::Reply::Current { promised: Default::default(), entries: Default::default() };
+    let answer = notchspool_consensus::Response {
+        incarnation: 0,
+        known_incarnations: Default::default(),
+        reply: said,
+    };
     say(&mut asks, asked.no, Body::Answer(answer));
     say(&mut io, 0, told(2, Act::Drain, 5));
     drop(io);
@@ -702,7 +707,11 @@
                     let Ok(message) = Message::read(line.as_bytes(), "lab") else { return };
                     // Newer than ours, and saying what would be a vote.
                     let said = notchspool_consensus::Reply::Accepted;
-                    let answer = notchspool_consensus::Response { incarnation: 0, known_incarnations: Default::default(), reply: said };
+                    let answer = notchspool_consensus::Response {
+                        incarnation: 0,
+                        known_incarnations: Default::default(),
+                        reply: said,
+                    };
                     let vote = Message::new("lab", "k3", message.no, Body::Answer(answer)).written();
                     if write.write_all(vote.replace("\"form\":1", "\"form\":2").as_bytes()).is_err() {
                         return;
--- a/crates/control-plane/src/office/config.rs
+++ b/crates/control-plane/src/office/config.rs
@@ -6,7 +6,7 @@
     pub fn put(&mut self, now: Micros, id: u64, body: &[u8]) -> Vec<Act> {
         let mut acts = Vec::new();
         self.tick(now);
-        let script = match Script::check(body) {
+        let script = match RouteConfig::parse(body) {
             Ok(script) => script,
             Err(refusal) => {
                 self.counts.refused += 1;
@@ -18,7 +18,7 @@
         self.counts.puts += 1;
         let Ok(body) = String::from_utf8(body.to_vec()) else { return acts };
         let digest = Digest::of(body.as_bytes());
-        let order = Order::Put(VersionedConfig { version: script.version, body }, digest);
+        let order = Operation::Replace(VersionedConfig { version: script.version, body }, digest);
         self.call(now, Call::Put(id, script.version), order, &mut acts);
         acts
     }
@@ -27,11 +27,11 @@
     pub fn read(&mut self, now: Micros, id: u64) -> Vec<Act> {
         let mut acts = Vec::new();
         self.tick(now);
-        self.call(now, Call::Read(id), Order::Read, &mut acts);
+        self.call(now, Call::Read(id), Operation::Read, &mut acts);
         acts
     }
 
-    pub(super) fn call(&mut self, now: Micros, call: Call, order: Order, acts: &mut Vec<Act>) {
+    pub(super) fn call(&mut self, now: Micros, call: Call, order: Operation, acts: &mut Vec<Act>) {
         if let Call::Put(id, _) | Call::Read(id) = call {
             let alone = !self.reaches_most(now) && self.set.members.len() != 1;
             let why = match (self.set.number == 0, alone) {
@@ -51,10 +51,10 @@
         self.steps(now, steps, acts);
     }
 
-    pub(super) fn steps(&mut self, now: Micros, steps: Vec<Step>, acts: &mut Vec<Act>) {
+    pub(super) fn steps(&mut self, now: Micros, steps: Vec<Effect>, acts: &mut Vec<Act>) {
         for step in steps {
             match step {
-                Step::Ask(voter, number, ask) => {
+                Effect::Send { to: voter, number, request: ask } => {
                     let Some(vote) = seats::vote(self.set.number, number, &ask) else { continue };
                     if Some(voter.0 as usize) == self.own_place() {
                         self.vote(now, None, &vote, acts);
@@ -62,44 +62,44 @@
                         acts.push(Act::Send(*conn, What::Vote(vote)));
                     }
                 }
-                Step::Chosen(held, began) => {
+                Effect::Chosen { config: held, started_at: began } => {
                     // An answer to what was asked before it stood still or was cut off says nothing of now.
                     self.sure |= began >= self.doubted;
                     held.into_iter().for_each(|held| self.choose(held, acts));
                 }
-                Step::End(number, end) => self.end(now, number, end, acts),
+                Effect::Finish(number, end) => self.end(now, number, end, acts),
             }
         }
     }
 
-    fn end(&mut self, now: Micros, number: u64, end: End, acts: &mut Vec<Act>) {
+    fn end(&mut self, now: Micros, number: u64, end: CallResult, acts: &mut Vec<Act>) {
         let Some(call) = self.calls.remove(&number) else { return };
         let (id, version) = match call {
             Call::Put(id, version) => (id, version),
             Call::Read(id) => (id, 0),
             Call::Own => {
-                if end == End::NoMajority {
+                if end == CallResult::NoMajority {
                     self.unsure = Some(now + UNSURE);
                 }
                 return;
             }
         };
         let (status, body) = match end {
-            End::Held(held) => (200, held.body),
-            End::Taken => (200, String::new()),
-            End::Empty => (503, "there is none yet".into()),
-            End::Other(holds) => {
+            CallResult::Current(held) => (200, held.body),
+            CallResult::Accepted => (200, String::new()),
+            CallResult::Empty => (503, "there is none yet".into()),
+            CallResult::Conflict { current: holds } => {
                 let line =
                     format!("not taken: another body holds under {version}; version {holds} is in force");
                 acts.push(Act::Log(line.clone()));
                 (409, line)
             }
-            End::Forgotten(holds) => {
+            CallResult::Forgotten { current: holds } => {
                 let why =
                     "is older than what is remembered: whether this body was taken under it is not known";
                 (503, format!("version {version} {why}; version {holds} is in force"))
             }
-            End::NoMajority => {
+            CallResult::NoMajority => {
                 let why = "more than half of the prompters did not answer in time: what was sent may come to hold or not";
                 (503, why.into())
             }
@@ -143,10 +143,10 @@
         if yes && (!writes.is_empty() || owed) {
             // What was handed to the disk and is not known to be there goes with it once more.
             let mut deeds = Vec::new();
-            if let Some(kept) = voter.space(&pen::space()) {
+            if let Some(kept) = voter.space(&proposer::config_space()) {
                 deeds.push(Deed::Promise(kept.promised));
-                if let Some(entry) = kept.entries.get(KEY).filter(|_| owed || vote.body.is_some()) {
-                    let version = VersionedConfig::read(&entry.value).map_or(0, |h| h.version);
+                if let Some(entry) = kept.entries.get(CONFIG_KEY).filter(|_| owed || vote.body.is_some()) {
+                    let version = VersionedConfig::parse(&entry.value).map_or(0, |h| h.version);
                     deeds.push(Deed::Word(version, entry.clone()));
                 }
             }
@@ -182,7 +182,7 @@
             }
             None if set == self.set.number => {
                 let jitter = self.chance.rand_float();
-                let steps = self.proposer.hear(now, voter, number, answer, jitter);
+                let steps = self.proposer.on_response(now, voter, number, answer, jitter);
                 self.steps(now, steps, acts);
             }
             None => {}
@@ -192,8 +192,8 @@
     /// What is accepted here is newer than what is known to be chosen.
     pub(super) fn lags(&self) -> bool {
         let State::Seated(voter) = &self.state else { return true };
-        let entry = voter.space(&pen::space()).and_then(|k| k.entries.get(KEY).cloned());
-        let accepted = entry.and_then(|e| VersionedConfig::read(&e.value)).map_or(0, |h| h.version);
+        let entry = voter.space(&proposer::config_space()).and_then(|k| k.entries.get(CONFIG_KEY).cloned());
+        let accepted = entry.and_then(|e| VersionedConfig::parse(&e.value)).map_or(0, |h| h.version);
         accepted > self.chosen.as_ref().map_or(0, |h| h.version)
     }
 }
--- a/crates/control-plane/src/office/members.rs
+++ b/crates/control-plane/src/office/members.rs
@@ -531,7 +531,7 @@
         self.withdrawn.clear();
         self.gather_wait = repair::GATHER_AGAIN;
         self.terms = terms(self.set.members.len());
-        self.proposer.change(self.terms);
+        self.proposer.on_voters_changed(self.terms);
         acts.push(Act::Log(format!("members: {}", self.set)));
         acts.push(Act::Voters(self.set.addresses()));
         self.meet_all(now, acts);
--- a/crates/control-plane/src/office/mod.rs
+++ b/crates/control-plane/src/office/mod.rs
@@ -10,8 +10,10 @@
 use notchspool_endpoint_registry::board::Board;
 use notchspool_idempotency::rack::{Rack, Vote};
 use notchspool_mesh_config::digest::Digest;
-use notchspool_mesh_config::pen::{self, End, KEY, Order, Proposer, Step, VersionedConfig};
-use notchspool_mesh_config::script::Script;
+use notchspool_mesh_config::proposer::{
+    self, CONFIG_KEY, CallResult, Effect, Operation, Proposer, VersionedConfig,
+};
+use notchspool_mesh_config::route_config::RouteConfig;
 use notchspool_mesh_protocol as cues;
 use notchspool_mesh_protocol::snapshot::Sending;
 use notchspool_mesh_protocol::{Age, Claim, Claimed, Holding, Want, Watch, Welcome, What, Word};
@@ -261,7 +263,7 @@
             leaving: None,
             handed: BTreeSet::new(),
             hand_at: now,
-            proposer: Proposer::open(terms(1), ContenderId(life)),
+            proposer: Proposer::new(terms(1), ContenderId(life)),
             board: Board::default(),
             rack,
             chosen: None,
@@ -295,8 +297,9 @@
                 office.register = seat.register;
                 office.state = State::Spare;
                 if let Some(own) = office.own_place() {
-                    let entries = found.entry.clone().map(|e| (KEY.to_string(), e)).into_iter().collect();
-                    let spaces = vec![(pen::space(), found.promised, entries, None).into()];
+                    let entries =
+                        found.entry.clone().map(|e| (CONFIG_KEY.to_string(), e)).into_iter().collect();
+                    let spaces = vec![(proposer::config_space(), found.promised, entries, None).into()];
                     let disk = DurableState { spaces, ..DurableState::default() };
                     office.state =
                         State::Seated(Acceptor::open(VoterId(own as u16), office.terms, disk, now));
@@ -365,7 +368,7 @@
     }
 
     fn own_read(&mut self, now: Micros, acts: &mut Vec<Act>) {
-        self.call(now, Call::Own, Order::Read, acts);
+        self.call(now, Call::Own, Operation::Read, acts);
     }
 
     fn reaches_most(&self, now: Micros) -> bool {
@@ -512,7 +515,7 @@
                 let number = voted.number;
                 let (from, answer) = seats::answer(voted);
                 let jitter = self.chance.rand_float();
-                let steps = self.proposer.hear(now, from, number, answer, jitter);
+                let steps = self.proposer.on_response(now, from, number, answer, jitter);
                 self.steps(now, steps, &mut acts);
             }
             What::Heard(mut heard) => {
@@ -591,7 +594,7 @@
         let mut acts = Vec::new();
         self.tick(now);
         let jitter = self.chance.rand_float();
-        let steps = self.proposer.wake(now, jitter);
+        let steps = self.proposer.tick(now, jitter);
         self.steps(now, steps, &mut acts);
         self.wake_change(now, &mut acts);
         self.wake_install(now, &mut acts);
@@ -603,7 +606,7 @@
         }
         self.board.wake(now, reaches);
         self.tell_board(now, &mut acts);
-        if self.unsure.is_some_and(|at| at <= now) && self.proposer.idle() {
+        if self.unsure.is_some_and(|at| at <= now) && self.proposer.is_idle() {
             self.unsure = None;
             if self.lags() || !self.sure {
                 self.own_read(now, &mut acts);
@@ -627,7 +630,7 @@
             let ushers = self.guests.iter().filter(|(_, g)| g.usher);
             acts.extend(ushers.map(|(conn, _)| Act::Send(*conn, holding.clone())));
         }
-        if !self.sure && self.unsure.is_none() && self.proposer.idle() && reaches {
+        if !self.sure && self.unsure.is_none() && self.proposer.is_idle() && reaches {
             self.unsure = Some(now + UNSURE.times(1.0 + jitter));
         }
         if now >= self.rack_at {
--- a/crates/control-plane/src/office/repair.rs
+++ b/crates/control-plane/src/office/repair.rs
@@ -179,8 +179,8 @@
     }
 
     pub(super) fn all_of(&self, now: Micros, voter: &Acceptor, set: u64) -> All {
-        let kept = voter.space(&pen::space()).cloned().unwrap_or_default();
-        let entry = kept.entries.get(KEY);
+        let kept = voter.space(&proposer::config_space()).cloned().unwrap_or_default();
+        let entry = kept.entries.get(CONFIG_KEY);
         All {
             voter: u32::from(voter.id.0),
             set,
@@ -260,7 +260,7 @@
             let had = |c: &Claim| self.rack.has(&c.key, c.ticket.unwrap_or_default());
             deeds.extend(rack.all(now).into_iter().filter(|c| !had(c)).map(Deed::Claim));
             if let Some(entry) = &entry {
-                let version = VersionedConfig::read(&entry.value).map_or(0, |h| h.version);
+                let version = VersionedConfig::parse(&entry.value).map_or(0, |h| h.version);
                 deeds.push(Deed::Word(version, entry.clone()));
             }
             deeds.extend([Deed::Promise(promised), Deed::Seat(seat)]);
@@ -277,9 +277,9 @@
             })));
         }
         self.rack = rack;
-        let entries = entry.map(|e| (KEY.to_string(), e)).into_iter().collect();
+        let entries = entry.map(|e| (CONFIG_KEY.to_string(), e)).into_iter().collect();
         let disk = DurableState {
-            spaces: vec![(pen::space(), promised, entries, None).into()],
+            spaces: vec![(proposer::config_space(), promised, entries, None).into()],
             ..DurableState::default()
         };
         let voter = Acceptor::open(VoterId(own as u16), self.terms, disk, now);
@@ -371,12 +371,12 @@
         if let Some(body) = all.body {
             let under = seats::ballot(all.under);
             let has = voter
-                .space(&pen::space())
-                .and_then(|k| k.entries.get(KEY))
+                .space(&proposer::config_space())
+                .and_then(|k| k.entries.get(CONFIG_KEY))
                 .is_some_and(|e| e.ballot >= under);
             if !has {
-                let changes = vec![(KEY.to_string(), body)];
-                let space = pen::space();
+                let changes = vec![(CONFIG_KEY.to_string(), body)];
+                let space = proposer::config_space();
                 let ask = notchspool_consensus::Request::Accept {
                     space,
                     ballot: under,
@@ -389,11 +389,11 @@
                     return;
                 }
             }
-            if let Some(kept) = voter.space(&pen::space()) {
+            if let Some(kept) = voter.space(&proposer::config_space()) {
                 deeds.push(Deed::Promise(kept.promised));
-                let entry = kept.entries.get(KEY);
+                let entry = kept.entries.get(CONFIG_KEY);
                 deeds.extend(entry.map(|e| {
-                    Deed::Word(VersionedConfig::read(&e.value).map_or(0, |h| h.version), e.clone())
+                    Deed::Word(VersionedConfig::parse(&e.value).map_or(0, |h| h.version), e.clone())
                 }));
             }
         }
--- a/crates/control-plane/src/seats.rs
+++ b/crates/control-plane/src/seats.rs
@@ -2,7 +2,7 @@
 use std::collections::BTreeMap;
 
 use notchspool_consensus::{Ballot, ContenderId, Entries, Entry, Reply, Request, Response, Token, VoterId};
-use notchspool_mesh_config::pen::{self, KEY};
+use notchspool_mesh_config::proposer::{self, CONFIG_KEY};
 use notchspool_mesh_protocol as cues;
 
 pub fn ballot(b: Option<cues::Ballot>) -> Ballot {
@@ -15,7 +15,8 @@
 }
 
 fn entries(under: Option<cues::Ballot>, body: Option<String>) -> Entries {
-    let entry = body.map(|value| (KEY.to_string(), Entry { ballot: ballot(under), sequence: 1, value }));
+    let entry =
+        body.map(|value| (CONFIG_KEY.to_string(), Entry { ballot: ballot(under), sequence: 1, value }));
     entry.into_iter().collect()
 }
 
@@ -34,11 +35,11 @@
 }
 
 pub fn asked(vote: &cues::Vote) -> Request {
-    let (space, ballot) = (pen::space(), ballot(vote.ballot));
+    let (space, ballot) = (proposer::config_space(), ballot(vote.ballot));
     match &vote.body {
         None => Request::Prepare { space, ballot },
         Some(body) => {
-            let changes = vec![(KEY.to_string(), body.clone())];
+            let changes = vec![(CONFIG_KEY.to_string(), body.clone())];
             Request::Accept { space, ballot, sequence: 1, changes, lease: None }
         }
     }
@@ -49,7 +50,7 @@
     let blank = cues::Voted { number, set, voter: u32::from(voter.0), ..cues::Voted::default() };
     match &answer.reply {
         Reply::Promised { entries } => {
-            let entry = entries.get(KEY);
+            let entry = entries.get(CONFIG_KEY);
             let under = entry.and_then(|e| told(e.ballot));
             cues::Voted { vote: 1, under, body: entry.map(|e| e.value.clone()), ..blank }
         }
--- a/crates/data-plane/src/company.rs
+++ b/crates/data-plane/src/company.rs
@@ -4,7 +4,7 @@
 use notchspool::logic::{Balancer, Txn};
 use notchspool::units::*;
 use notchspool_endpoint_registry::playbill::Changes;
-use notchspool_mesh_config::script::{Route, RouteKind};
+use notchspool_mesh_config::route_config::{Route, RouteKind};
 use notchspool_mesh_protocol::{State, Station};
 
 use crate::purse::Purse;
@@ -155,8 +155,8 @@
 
     /// The row of the scheme table for a route.
     fn scheme(&mut self, route: &Route) -> SchemeId {
-        let (repeatable, large) = (route.kind.repeatable(), route.kind == RouteKind::Download);
-        let key = (repeatable, large, route.target.0);
+        let (repeatable, large) = (route.kind.is_idempotent(), route.kind == RouteKind::Download);
+        let key = (repeatable, large, route.latency_target.0);
         if let Some(id) = self.schemes.get(&key) {
             return *id;
         }
@@ -166,7 +166,13 @@
             return *id;
         }
         let kind = if repeatable { Kind::Repeatable } else { Kind::OnceOnly };
-        let row = Scheme { kind, group: Group::All, window: Micros(0), sla: route.target, overdue: OVERDUE };
+        let row = Scheme {
+            kind,
+            group: Group::All,
+            window: Micros(0),
+            sla: route.latency_target,
+            overdue: OVERDUE,
+        };
         let id = self.balancer.scheme(row, if large { AFAR_LARGE } else { AFAR });
         self.schemes.insert(key, id);
         id
--- a/crates/data-plane/src/house.rs
+++ b/crates/data-plane/src/house.rs
@@ -8,7 +8,7 @@
 use notchspool_endpoint_registry::beats::{Beat, Beats, Event};
 use notchspool_endpoint_registry::playbill::{Changes, Playbill};
 use notchspool_idempotency::coats::Coats;
-use notchspool_mesh_config::script::Script;
+use notchspool_mesh_config::route_config::RouteConfig;
 use notchspool_mesh_protocol::{Bill, Said, State, Station, What};
 use notchspool_runtime::Clock;
 use notchspool_runtime::told::Told;
@@ -32,7 +32,7 @@
     pub life: u64,
     pub own: String,
     pub chance: RefCell<Rand64>,
-    pub script: RefCell<Option<Rc<Script>>>,
+    pub script: RefCell<Option<Rc<RouteConfig>>>,
     pub playbill: RefCell<Playbill>,
     pub companies: RefCell<BTreeMap<String, Company>>,
     pub links: Links,
@@ -223,7 +223,7 @@
         if self.script.borrow().as_ref().is_some_and(|s| s.version >= version) {
             return;
         }
-        match Script::check(body) {
+        match RouteConfig::parse(body) {
             Ok(script) => {
                 log::info!(target: "promptbook", "version {version} is in force, {} routes", script.routes.len());
                 *self.script.borrow_mut() = Some(Rc::new(script));
--- a/crates/data-plane/src/lobby.rs
+++ b/crates/data-plane/src/lobby.rs
@@ -10,7 +10,7 @@
 use hyper::{Request, Response, StatusCode};
 use notchspool::units::{BackendId, Fate, Micros, TxnRef};
 use notchspool_idempotency::round::Verdict as Claimed;
-use notchspool_mesh_config::script::{Route, RouteKind};
+use notchspool_mesh_config::route_config::{Route, RouteKind};
 use notchspool_mesh_protocol::{Ask, Pair, Said, Ticket, Verdict};
 
 use crate::attempts::{Attempts, Event, Next, Terms};
@@ -164,7 +164,7 @@
         let Some(key) = single(&head.headers, KEY) else {
             return plain(400, "the Notchspool-Operation-Key can't be told");
         };
-        let limit = script.limits.body_bytes;
+        let limit = script.limits.max_body_bytes;
         let body = match Limited::new(body, limit).collect().await {
             Ok(body) => body.to_bytes(),
             Err(e) if e.is::<LengthLimitError>() => return plain(413, "the body is over the limit"),
@@ -172,14 +172,14 @@
         };
         let target = head.uri.path_and_query().map_or("/", |p| p.as_str()).to_string();
         let method = head.method.to_string();
-        let aim = now + route.target;
+        let aim = now + route.latency_target;
         let asked = Asked { method, target, host, headers, body, attempt, key, began, aim };
         let route = route.clone();
         self.route(&route, asked, until).await
     }
 
     async fn route(self: &Rc<House>, route: &Route, asked: Asked, until: Micros) -> Answer {
-        let service = route.service(self.dart()).to_string();
+        let service = route.pick_service(self.dart()).to_string();
         let txn = TxnRef(self.number());
         let hand = Hand { house: self.clone(), service: service.clone(), txn, open: Cell::new(true) };
         let orders = self.company(&service, |c| c.take(self.now(), txn, route, until));
@@ -200,7 +200,7 @@
     ) -> Answer {
         let keyed = route.kind == RouteKind::Keyed && !asked.key.is_empty();
         let ticket = keyed.then_some(Ticket { life: self.life, number: txn.0, turn: 0 });
-        let (repeatable, most) = (route.kind.repeatable(), route.attempts);
+        let (repeatable, most) = (route.kind.is_idempotent(), route.max_attempts);
         let mut attempts = Attempts::open(Terms { repeatable, most, until, ticket });
         let spend = || self.company(service, |c| c.purse.spend());
         // A failure that is answered where no other backend is found.
@@ -350,10 +350,10 @@
             headers: asked.headers.clone(),
             body: asked.body.clone(),
             left_ms: (left.0 / 1000).clamp(1, 600_000) as u32,
-            target_ms: (route.target.0 / 1000).clamp(1, 600_000) as u32,
+            target_ms: (route.latency_target.0 / 1000).clamp(1, 600_000) as u32,
             aim_ms: ((asked.aim - self.now()).0 / 1000).clamp(0, 600_000) as u32,
             rank: route.priority,
-            repeatable: route.kind.repeatable(),
+            repeatable: route.kind.is_idempotent(),
             key: if ticket.is_some() { asked.key.clone() } else { String::new() },
             ticket,
             attempt: asked.attempt.clone(),
--- a/crates/data-plane/src/run.rs
+++ b/crates/data-plane/src/run.rs
@@ -83,11 +83,11 @@
 async fn connection(house: Rc<House>, stream: TcpStream, side: Side, mut ends: watch::Receiver<bool>) {
     let _ = stream.set_nodelay(true);
     let limits = house.script.borrow().as_ref().map(|s| s.limits).unwrap_or_default();
-    let patience = limits.idle_time.0.max(limits.header_time.0).clamp(1_000_000, 600_000_000);
+    let patience = limits.idle_timeout.0.max(limits.header_timeout.0).clamp(1_000_000, 600_000_000);
     let mut http = hyper::server::conn::http1::Builder::new();
     http.timer(TokioTimer::new())
         .header_read_timeout(Duration::from_micros(patience as u64))
-        .max_buf_size(limits.header_bytes.clamp(8 << 10, 1 << 20) + (8 << 10));
+        .max_buf_size(limits.max_header_bytes.clamp(8 << 10, 1 << 20) + (8 << 10));
     let service = hyper::service::service_fn(move |request| answer(house.clone(), side, request));
     let conn = http.serve_connection(TokioIo::new(stream), service);
     let mut conn = std::pin::pin!(conn);
--- a/crates/data-plane/tests/draw.rs
+++ b/crates/data-plane/tests/draw.rs
@@ -6,7 +6,7 @@
 use notchspool_data_plane::company::{Company, Order};
 use notchspool_data_plane::purse::Purse;
 use notchspool_endpoint_registry::playbill::{Changes, Playbill};
-use notchspool_mesh_config::script::{Route, RouteKind};
+use notchspool_mesh_config::route_config::{Route, RouteKind, WeightedService};
 use notchspool_mesh_protocol::{Bill, State, Station};
 
 fn station(instance: &str, slots: u32, cold_ms: u32, state: State, calls: u64) -> Station {
@@ -30,10 +30,10 @@
         prefix: "/".into(),
         kind,
         timeout: Micros::ms(1_000),
-        target: Micros::ms(200),
+        latency_target: Micros::ms(200),
         priority: 1,
-        attempts: 2,
-        split: vec![("s".into(), 1.0)],
+        max_attempts: 2,
+        traffic_split: vec![WeightedService { service: "s".into(), weight: 1.0 }],
     }
 }
 
--- a/crates/lab/src/mesh/player.rs
+++ b/crates/lab/src/mesh/player.rs
@@ -10,8 +10,8 @@
 use notchspool_idempotency::coats::Event as Turn;
 use notchspool_idempotency::round::Verdict;
 use notchspool_mesh_config::digest::Digest;
-use notchspool_mesh_config::register::{Value, VersionedConfig};
-use notchspool_mesh_config::script::Script;
+use notchspool_mesh_config::register::{RegisterValue, VersionedConfig};
+use notchspool_mesh_config::route_config::RouteConfig;
 use notchspool_mesh_protocol as cues;
 use notchspool_mesh_protocol::texts::{Heard, Texts};
 use notchspool_mesh_protocol::{Claim, Hello, Ping, Snapshot, Want, Watch, What, Withdraw};
@@ -39,7 +39,12 @@
         match deed {
             Deed::Promise(ballot) => self.found.promised = self.found.promised.max(*ballot),
             Deed::Word(_, entry) => {
-                if self.found.entry.as_ref().is_none_or(|old| (old.ballot, old.sequence) < (entry.ballot, entry.sequence)) {
+                if self
+                    .found
+                    .entry
+                    .as_ref()
+                    .is_none_or(|old| (old.ballot, old.sequence) < (entry.ballot, entry.sequence))
+                {
                     self.found.entry = Some(entry.clone());
                 }
             }
@@ -64,7 +69,8 @@
             let b = b.unwrap_or_default();
             Ballot { token: Token(0), round: b.round, by: ContenderId(b.by) }
         };
-        let entry = snapshot.body.clone().map(|value| Entry { ballot: told(snapshot.under), sequence: 1, value });
+        let entry =
+            snapshot.body.clone().map(|value| Entry { ballot: told(snapshot.under), sequence: 1, value });
         if breach != Breach::SealNotKept || self.found.seat.is_none() {
             self.found.seat = serde_json::from_slice(&snapshot.seat).ok();
         }
@@ -380,7 +386,7 @@
         }
         match &called.order {
             None => {
-                let read = Script::check(reply.body.as_bytes()).map_or(0, |s| s.version);
+                let read = RouteConfig::parse(reply.body.as_bytes()).map_or(0, |s| s.version);
                 if reply.status == 200 && read < called.acked {
                     let acked = called.acked;
                     self.wrong(format!("a read gives {read}, {acked} was acknowledged before it came"));
@@ -429,8 +435,8 @@
             | What::Voted(cues::Voted { body: Some(body), .. })
                 if self.breach == Breach::KeepsNoHistory =>
             {
-                if let Some(held) = VersionedConfig::read(body) {
-                    *body = Value::first(held.clone(), Digest::of(held.body.as_bytes())).written();
+                if let Some(held) = VersionedConfig::parse(body) {
+                    *body = RegisterValue::new(held.clone(), Digest::of(held.body.as_bytes())).to_text();
                 }
             }
             _ => {}
@@ -635,7 +641,7 @@
     }
 
     fn put_body(&mut self, core: usize, version: u64, body: String) -> u64 {
-        assert!(Script::check(body.as_bytes()).is_ok());
+        assert!(RouteConfig::parse(body.as_bytes()).is_ok());
         self.sent.entry(version).or_default().insert(body.clone());
         self.call(core, Some((version, body)))
     }
@@ -787,7 +793,7 @@
     /// Whether a core's disk has this version, or a later one.
     pub fn keeps(&self, at: usize, version: u64) -> bool {
         let entry = self.cores[at].store.found.entry.as_ref();
-        entry.and_then(|e| VersionedConfig::read(&e.value)).is_some_and(|h| h.version >= version)
+        entry.and_then(|e| VersionedConfig::parse(&e.value)).is_some_and(|h| h.version >= version)
     }
 
     /// Whether a core's disk has a claim of this key.
@@ -1203,7 +1209,7 @@
             let version = reply
                 .as_ref()
                 .filter(|r| r.status == 200)
-                .and_then(|r| Script::check(r.body.as_bytes()).ok());
+                .and_then(|r| RouteConfig::parse(r.body.as_bytes()).ok());
             match version {
                 Some(script) if script.version >= newest => {}
                 None if newest == 0 && self.sent.is_empty() => {}
--- a/crates/lab/src/mesh/timeline.rs
+++ b/crates/lab/src/mesh/timeline.rs
@@ -1,7 +1,7 @@
 //! Timelines drawn as text, one column an agent. The first line names the columns; each further line is a time in seconds and a cell a column, cells
 //! apart by two spaces or more, `.` for nothing. A cell does something to its agent, or says what has to be seen there then.
 use notchspool::units::Micros;
-use notchspool_mesh_config::script::Script;
+use notchspool_mesh_config::route_config::RouteConfig;
 
 use super::player::{Breach, Player};
 
@@ -146,7 +146,7 @@
         ["reads", v] => {
             answered(player, replies, (at, 0), &[200])?;
             let reply = replies.get(&(at, 0)).and_then(|id| player.replies.get(id));
-            let found = reply.and_then(|r| Script::check(r.body.as_bytes()).ok()).map(|s| s.version);
+            let found = reply.and_then(|r| RouteConfig::parse(r.body.as_bytes()).ok()).map(|s| s.version);
             if found != Some(version(v)?) {
                 return Err(format!("read {found:?}"));
             }
--- a/crates/lab/src/mesh/usher.rs
+++ b/crates/lab/src/mesh/usher.rs
@@ -138,17 +138,17 @@
 
     /// The instances that a hundred draws come upon.
     pub fn draws(&mut self, now: Micros) -> Vec<String> {
-        use notchspool_mesh_config::script::{Route, RouteKind};
+        use notchspool_mesh_config::route_config::{Route, RouteKind, WeightedService};
         let route = Route {
             name: "r".into(),
             host: "h".into(),
             prefix: "/".into(),
             kind: RouteKind::Safe,
             timeout: Micros::ms(1_000),
-            target: Micros::ms(200),
+            latency_target: Micros::ms(200),
             priority: 1,
-            attempts: 2,
-            split: vec![("s".into(), 1.0)],
+            max_attempts: 2,
+            traffic_split: vec![WeightedService { service: "s".into(), weight: 1.0 }],
         };
         let mut found = std::collections::BTreeSet::new();
         for _ in 0..100 {
--- a/crates/mesh-config/src/lib.rs
+++ b/crates/mesh-config/src/lib.rs
@@ -1,7 +1,12 @@
-//! The operator's word. `script`: one configuration, checked and looked up by host and path. `pen`: how a configuration becomes the one
-//! that holds: one register by ballots (`notchspool_consensus`), whose value (`register`) only ever goes to a higher
-//! version and keeps one body for a number, by its `digest`. No I/O.
+//! The operator's configurations of the mesh, without I/O.
+//!
+//! [`route_config`] checks one configuration and looks routes up by host and path. [`proposer`] agrees on the configuration that is in
+//! force, by one register among the voters (`notchspool_consensus`); [`register`] is the value of that register, which only ever moves to
+//! a higher version and keeps one body for each version, compared by [`digest`].
+#![warn(missing_docs)]
+
 pub mod digest;
-pub mod pen;
+mod parse;
+pub mod proposer;
 pub mod register;
-pub mod script;
+pub mod route_config;
--- a/crates/mesh-config/tests/word.rs
+++ b/crates/mesh-config/tests/agreement.rs
@@ -7,8 +7,10 @@
 use notchspool_consensus::acceptor_recovery::Recovery;
 use notchspool_consensus::{ContenderId, Parameters, Reply, Request, Response, VoterId};
 use notchspool_mesh_config::digest::Digest;
-use notchspool_mesh_config::pen::{self, End, KEY, Order, Proposer, Step, VersionedConfig};
-use notchspool_mesh_config::register::{REMEMBERED, Standing, Value};
+use notchspool_mesh_config::proposer::{
+    self, CONFIG_KEY, CallResult, Effect, Operation, Proposer, VersionedConfig,
+};
+use notchspool_mesh_config::register::{MAX_REMEMBERED_VERSIONS, RegisterValue, VersionStatus};
 use quickcheck::{Gen, QuickCheck, TestResult};
 use rstest::rstest;
 
@@ -29,7 +31,7 @@
 /// One life of a process that proposes.
 struct Process {
     proposer: Proposer,
-    life: u64,
+    incarnation: u64,
 }
 
 /// A voter; one that lost its disk asks the others.
@@ -63,7 +65,7 @@
     given_up: u64,
     /// Which body was taken under older numbers is not kept: the planted breach.
     forgets: bool,
-    wrong: Option<String>,
+    violation: Option<String>,
 }
 
 fn voter(at: usize, disk: DurableState, now: Micros) -> Seat {
@@ -71,12 +73,12 @@
 }
 
 fn disk(voter: &Acceptor) -> DurableState {
-    let (life, lives) = (voter.incarnation(), voter.known_incarnations());
-    let kept = voter.space(&pen::space()).cloned().unwrap_or_default();
+    let (incarnation, lives) = (voter.incarnation(), voter.known_incarnations());
+    let kept = voter.space(&proposer::config_space()).cloned().unwrap_or_default();
     DurableState {
-        incarnation: life,
+        incarnation: incarnation,
         known_incarnations: lives.clone(),
-        spaces: vec![(pen::space(), kept.promised, kept.entries, kept.lease).into()],
+        spaces: vec![(proposer::config_space(), kept.promised, kept.entries, kept.lease).into()],
     }
 }
 
@@ -93,55 +95,58 @@
 
     fn process(&mut self) -> Process {
         self.lives += 1;
-        Process { proposer: Proposer::open(TERMS, ContenderId(self.lives)), life: self.lives }
+        Process { proposer: Proposer::new(TERMS, ContenderId(self.lives)), incarnation: self.lives }
     }
 
-    fn steps(&mut self, at: usize, steps: Vec<Step>) {
-        for step in steps {
+    fn effects(&mut self, at: usize, effects: Vec<Effect>) {
+        for step in effects {
             match step {
-                Step::Ask(voter, number, ask) => {
-                    self.way.push((at, self.processes[at].life, voter.0, number, Message::Ask(ask)));
+                Effect::Send { to: voter, number, request: ask } => {
+                    self.way.push((at, self.processes[at].incarnation, voter.0, number, Message::Ask(ask)));
                 }
-                Step::Chosen(None, _) => {}
-                Step::Chosen(Some(held), _) => {
+                Effect::Chosen { config: None, .. } => {}
+                Effect::Chosen { config: Some(held), .. } => {
                     let first = self.told.entry(held.version).or_insert_with(|| held.body.clone());
                     if *first != held.body {
-                        self.wrong = Some(format!("two bodies are told under {}", held.version));
+                        self.violation = Some(format!("two bodies are told under {}", held.version));
                     }
                 }
-                Step::End(id, end) => self.end(id, end),
+                Effect::Finish(id, end) => self.end(id, end),
             }
         }
     }
 
-    fn end(&mut self, id: u64, end: End) {
+    fn end(&mut self, id: u64, end: CallResult) {
         let Some(call) = self.calls.remove(&id) else { return };
         match (call.order, end) {
-            (None, End::Held(held)) if held.version < call.acked => {
-                self.wrong = Some(format!("reads {} after {} was acknowledged", held.version, call.acked));
+            (None, CallResult::Current(held)) if held.version < call.acked => {
+                self.violation =
+                    Some(format!("reads {} after {} was acknowledged", held.version, call.acked));
             }
-            (None, End::Empty) if call.acked > 0 => self.wrong = Some("reads nothing".into()),
-            (Some(order), End::Taken) => {
+            (None, CallResult::Empty) if call.acked > 0 => self.violation = Some("reads nothing".into()),
+            (Some(order), CallResult::Accepted) => {
                 if self.refused.contains(&order) {
-                    self.wrong = Some(format!("{order:?} was refused and is acknowledged"));
+                    self.violation = Some(format!("{order:?} was refused and is acknowledged"));
                 }
                 if self.acked.iter().any(|other| other.0 == order.0 && other.1 != order.1) {
-                    self.wrong = Some(format!("two bodies are acknowledged under {}", order.0));
+                    self.violation = Some(format!("two bodies are acknowledged under {}", order.0));
                 }
                 self.acked.insert(order);
             }
-            (Some(order), End::Other(holds)) => {
+            (Some(order), CallResult::Conflict { current: holds }) => {
                 if self.acked.contains(&order) {
-                    self.wrong = Some(format!("{order:?} was acknowledged and is refused"));
+                    self.violation = Some(format!("{order:?} was acknowledged and is refused"));
                 }
                 if holds < call.acked {
-                    self.wrong =
+                    self.violation =
                         Some(format!("{holds} is said to hold after {} was acknowledged", call.acked));
                 }
                 self.refused.insert(order);
             }
-            (_, End::NoMajority) => self.given_up += 1,
-            (Some(order), End::Forgotten(_)) => self.wrong = Some(format!("{order:?} is forgotten")),
+            (_, CallResult::NoMajority) => self.given_up += 1,
+            (Some(order), CallResult::Forgotten { .. }) => {
+                self.violation = Some(format!("{order:?} is forgotten"))
+            }
             _ => {}
         }
     }
@@ -151,25 +156,25 @@
         let acked = self.acked.iter().map(|a| a.0).max().unwrap_or(0);
         self.calls.insert(self.next, Call { order: order.clone(), acked });
         let order = match order {
-            None => Order::Read,
+            None => Operation::Read,
             Some((version, body)) => {
                 let digest = Digest::of(body.as_bytes());
-                Order::Put(VersionedConfig { version, body }, digest)
+                Operation::Replace(VersionedConfig { version, body }, digest)
             }
         };
-        let steps = self.processes[at].proposer.call(self.now, self.next, order);
-        self.steps(at, steps);
+        let effects = self.processes[at].proposer.call(self.now, self.next, order);
+        self.effects(at, effects);
         self.next
     }
 
     fn forget(&self, text: &mut String) {
-        if let Some(held) = VersionedConfig::read(text).filter(|_| self.forgets) {
+        if let Some(held) = VersionedConfig::parse(text).filter(|_| self.forgets) {
             let digest = Digest::of(held.body.as_bytes());
-            *text = Value::first(held, digest).written();
+            *text = RegisterValue::new(held, digest).to_text();
         }
     }
 
-    fn deliver(&mut self, (at, life, from, number, what): Way) {
+    fn deliver(&mut self, (at, incarnation, from, number, what): Way) {
         match what {
             Message::Ask(mut ask) => {
                 if let Request::Accept { changes, .. } = &mut ask {
@@ -178,19 +183,20 @@
                 if let Seat::Votes(seat) = &mut self.voters[from as usize] {
                     // What it writes is on its disk before the answer leaves.
                     let (answer, _) = seat.handle(self.now, &ask);
-                    self.way.push((at, life, from, number, Message::Answer(answer)));
+                    self.way.push((at, incarnation, from, number, Message::Answer(answer)));
                 }
             }
             Message::Answer(mut answer) => {
                 if let Reply::Promised { entries } = &mut answer.reply
-                    && let Some(entry) = entries.get_mut(KEY)
+                    && let Some(entry) = entries.get_mut(CONFIG_KEY)
                 {
                     self.forget(&mut entry.value);
                 }
-                if self.processes[at].life == life {
+                if self.processes[at].incarnation == incarnation {
                     let proposer = &mut self.processes[at].proposer;
-                    let steps = proposer.hear(self.now, VoterId(from), number, answer, 0.3 * at as f64);
-                    self.steps(at, steps);
+                    let effects =
+                        proposer.on_response(self.now, VoterId(from), number, answer, 0.3 * at as f64);
+                    self.effects(at, effects);
                 }
             }
         }
@@ -199,8 +205,8 @@
     fn wake(&mut self, span: Micros) {
         self.now = self.now + span;
         for at in 0..self.processes.len() {
-            let steps = self.processes[at].proposer.wake(self.now, 0.3 * at as f64);
-            self.steps(at, steps);
+            let effects = self.processes[at].proposer.tick(self.now, 0.3 * at as f64);
+            self.effects(at, effects);
         }
     }
 
@@ -285,7 +291,7 @@
                 !self.calls.contains_key(&id) && self.given_up == given_up
             });
             if !answered {
-                self.wrong = Some(format!("{order:?} is not answered"));
+                self.violation = Some(format!("{order:?} is not answered"));
             }
         }
     }
@@ -305,7 +311,7 @@
     words.iter().for_each(|word| world.step(*word));
     let acked = world.acked.len();
     world.heal();
-    (world.wrong, acked)
+    (world.violation, acked)
 }
 
 #[test]
@@ -343,7 +349,7 @@
 fn a_digest_goes_by_what_is_said(#[case] left: &str, #[case] right: &str, #[case] same: bool) {
     let (left, right) = (Digest::of(left.as_bytes()), Digest::of(right.as_bytes()));
     assert_eq!(left == right, same);
-    assert_eq!(Digest::read(&left.to_string()), Some(left));
+    assert_eq!(Digest::parse(&left.to_string()), Some(left));
 }
 
 fn held(version: u64, note: &str) -> (VersionedConfig, Digest) {
@@ -355,44 +361,47 @@
 #[test]
 fn a_value_is_read_as_it_was_written_and_remembers_the_newest_thousand() {
     let (first, digest) = held(1, "x");
-    let mut value = Value::first(first, digest);
-    for version in 2..REMEMBERED as u64 + 4 {
+    let mut value = RegisterValue::new(first, digest);
+    for version in 2..MAX_REMEMBERED_VERSIONS as u64 + 4 {
         let (next, digest) = held(version, "x");
-        value.take(&next, digest);
+        value.accept(&next, digest);
         if version % 500 == 0 {
-            assert_eq!(Value::read(&value.written()).as_ref(), Some(&value));
+            assert_eq!(RegisterValue::parse(&value.to_text()).as_ref(), Some(&value));
         }
     }
-    let newest = REMEMBERED as u64 + 3;
-    let standing = |version: u64, note: &str| value.standing(version, held(version, note).1);
-    assert_eq!(value.held.version, newest);
-    assert_eq!((standing(newest, "x"), standing(newest, "y")), (Standing::Taken, Standing::Other));
-    assert_eq!((standing(3, "x"), standing(3, "y")), (Standing::Taken, Standing::Other));
-    assert_eq!((standing(2, "x"), standing(0, "y")), (Standing::Forgotten, Standing::Forgotten));
-    assert_eq!(standing(newest + 1, "y"), Standing::Free);
-    assert_eq!(Value::read(&value.written()), Some(value.clone()));
+    let newest = MAX_REMEMBERED_VERSIONS as u64 + 3;
+    let standing = |version: u64, note: &str| value.status(version, held(version, note).1);
+    assert_eq!(value.current.version, newest);
+    assert_eq!(
+        (standing(newest, "x"), standing(newest, "y")),
+        (VersionStatus::SameBody, VersionStatus::OtherBody)
+    );
+    assert_eq!((standing(3, "x"), standing(3, "y")), (VersionStatus::SameBody, VersionStatus::OtherBody));
+    assert_eq!((standing(2, "x"), standing(0, "y")), (VersionStatus::Forgotten, VersionStatus::Forgotten));
+    assert_eq!(standing(newest + 1, "y"), VersionStatus::Unused);
+    assert_eq!(RegisterValue::parse(&value.to_text()), Some(value.clone()));
 }
 
 #[test]
 fn a_value_of_the_form_before_is_read_and_knows_of_no_older_numbers() {
     let (old, digest) = held(7, "x");
-    let value = Value::read(&format!("7\n{}", old.body)).unwrap();
-    assert_eq!(value.held, old);
-    assert_eq!(value.standing(7, digest), Standing::Taken);
-    assert_eq!(value.standing(7, held(7, "y").1), Standing::Other);
-    assert_eq!(value.standing(6, digest), Standing::Forgotten);
-    assert_eq!(value.standing(8, digest), Standing::Free);
-    assert_eq!(Value::read(&value.written()), Some(value));
+    let value = RegisterValue::parse(&format!("7\n{}", old.body)).unwrap();
+    assert_eq!(value.current, old);
+    assert_eq!(value.status(7, digest), VersionStatus::SameBody);
+    assert_eq!(value.status(7, held(7, "y").1), VersionStatus::OtherBody);
+    assert_eq!(value.status(6, digest), VersionStatus::Forgotten);
+    assert_eq!(value.status(8, digest), VersionStatus::Unused);
+    assert_eq!(RegisterValue::parse(&value.to_text()), Some(value));
 }
 
 #[test]
 fn a_text_that_is_no_value_is_none_and_never_a_panic() {
     fn property(text: String, at: usize) -> bool {
         let whole = held(7, "x").0;
-        let mut torn = Value::first(whole, Digest::of(b"{}")).written();
+        let mut torn = RegisterValue::new(whole, Digest::of(b"{}")).to_text();
         torn.truncate(at % (torn.len() + 1));
-        drop((Value::read(&text), VersionedConfig::read(&text), VersionedConfig::read(&torn)));
-        Value::read(&torn).is_none() || torn.contains('\n')
+        drop((RegisterValue::parse(&text), VersionedConfig::parse(&text), VersionedConfig::parse(&torn)));
+        RegisterValue::parse(&torn).is_none() || torn.contains('\n')
     }
     let mut tests = QuickCheck::new().rng(Gen::from_size_and_seed(200, 13)).tests(2_000);
     tests.quickcheck(property as fn(String, usize) -> bool);
