--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab.rs
@@ -31,7 +31,7 @@
     Report(Report),
     /// Keepers and agents as many real processes, faults between them, and the figures of who owns.
     Fleet(crate::ground::Ground),
-    /// The mesh in virtual time: prompters and ushers, drawn faults of links, disks and processes, judged by what was promised. Ends with
+    /// The mesh in virtual time: replicas and proxies, drawn faults of links, disks and processes, judged by what was promised. Ends with
     /// 0, or with 1 and the seeds that broke something.
     Mesh {
         /// The first seed.
@@ -46,7 +46,7 @@
         /// Changes of who votes: wipes, removals, successors, cuts.
         #[arg(long, conflicts_with = "storms")]
         members: bool,
-        /// The data plane instead: ushers, links and backends, judged by who got which answer and what ran twice.
+        /// The data plane instead: proxies, links and backends, judged by who got which answer and what ran twice.
         #[arg(long, conflicts_with_all = ["storms", "members"])]
         traffic: bool,
         /// Processors to use; 0: all.
@@ -63,10 +63,10 @@
         #[arg(long)]
         folder: Option<PathBuf>,
     },
-    /// The control plane under many agents: real prompters and ushers on loopback, and hollow agents beside them. Prints what each cost.
+    /// The control plane under many agents: real replicas and proxies on loopback, and hollow agents beside them. Prints what each cost.
     /// Refuses a plan that is too large for the machine. Ends with 0, or with 1 where not all agents were told all.
     Scale(crate::scale::Scale),
-    /// A prompter or an usher of `scale`, where their own programs are not built. The lab starts it by itself.
+    /// A replica or a proxy of `scale`, where their own programs are not built. The lab starts it by itself.
     #[command(hide = true)]
     Part { role: String, settings: PathBuf },
     /// A plain agent: a baseline, told what any agent is told. The lab starts it by itself.
@@ -117,10 +117,10 @@
     };
     println!("{changes} changes of {routes} routes, bodies of {} bytes", figures.body);
     println!("on the fullest disk {} bytes in {} files", figures.disk_bytes, figures.disk_files);
-    println!("texts held by a prompter {} bytes at most", figures.texts);
+    println!("texts held by a replica {} bytes at most", figures.texts);
     println!(
-        "for a change {:.0} bytes to and from a peer, {:.0} to an usher",
-        figures.to_peer, figures.to_usher
+        "for a change {:.0} bytes to and from a peer, {:.0} to a proxy",
+        figures.to_peer, figures.to_proxy
     );
     println!("texts refused {}", figures.refused);
     for back in &figures.returns {
--- a/crates/cli/src/scale.rs
+++ b/crates/cli/src/scale.rs
@@ -4,19 +4,23 @@
 use std::time::Duration;
 
 use clap::Args;
+use notchspool_data_plane::run::Listeners;
 use notchspool_lab::scale::{Plan, play};
-use notchspool_runtime::told::Told;
+use notchspool_runtime::node_settings::NodeSettings;
+use notchspool_runtime::program::CheckedSettings;
+use notchspool_runtime::signals::Signals;
 
 #[derive(Args)]
 pub struct Scale {
     /// Hollow agents.
     #[arg(long, default_value_t = 100)]
     hollow: usize,
-    /// Real ushers beside them.
-    #[arg(long, default_value_t = 3)]
-    ushers: usize,
-    #[arg(long, default_value_t = 3)]
-    prompters: usize,
+    /// Real proxies beside them.
+    #[arg(long, alias = "ushers", default_value_t = 3)]
+    proxies: usize,
+    /// Real replicas of the control plane.
+    #[arg(long, alias = "prompters", default_value_t = 3)]
+    replicas: usize,
     /// Threads for the hollow agents.
     #[arg(long, default_value_t = 4)]
     threads: usize,
@@ -48,31 +52,33 @@
     /// Claims of keys a second; 0: that phase is left out.
     #[arg(long, default_value_t = 300.0)]
     claims: f64,
-    /// Where `prompter` and `usher` lie; by default beside this program, else this program plays them.
+    /// Where `replica` and `proxy` lie; by default beside this program, else this program plays them.
     #[arg(long)]
     programs: Option<PathBuf>,
-    /// Where the prompters' disks are; emptied at the end.
+    /// Where the replicas' disks are; emptied at the end.
     #[arg(long)]
     disks: Option<PathBuf>,
 }
 
-/// One prompter or usher, as its own program runs it.
-pub fn part(role: &str, settings: PathBuf) -> Result<ExitCode, String> {
-    notchspool_runtime::logs(log::LevelFilter::Info);
-    let told = Told::read(&settings).map_err(|e| e.to_string())?;
-    let at = |name: &str| told.listener(&settings, name).map_err(|e| e.to_string());
-    let [outbound, readiness, control] = [at("outbound")?, at("readiness")?, at("controlPlane")?];
+/// One replica or proxy, as its own program runs it.
+pub fn part(role: &str, file: PathBuf) -> Result<ExitCode, String> {
+    notchspool_runtime::init_logging(log::LevelFilter::Info);
+    let node = NodeSettings::read(&file).map_err(|e| e.to_string())?;
+    let at = |name: &str| node.listener(&file, name).map_err(|e| e.to_string());
+    let [outbound, readiness, control_plane] = [at("outbound")?, at("readiness")?, at("controlPlane")?];
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let (runtime, local) = (runtime.map_err(|e| e.to_string())?, tokio::task::LocalSet::new());
-    let taken = runtime.block_on(async { notchspool_runtime::signals::Signals::take() });
-    let signals = taken.map_err(|e| e.to_string())?;
+    let installed = runtime.block_on(async { Signals::install() });
+    let signals = installed.map_err(|e| e.to_string())?;
     let ended = match role {
-        "prompter" => {
-            local.block_on(&runtime, notchspool_control_plane::house::run(told, settings, control, signals))
+        "control-plane" => {
+            let settings = CheckedSettings { node, file, listeners: control_plane };
+            local.block_on(&runtime, notchspool_control_plane::server::run(settings, signals))
         }
-        "usher" => {
-            let at = [outbound, readiness, control];
-            local.block_on(&runtime, notchspool_data_plane::run::run(told, settings, at, signals))
+        "proxy" => {
+            let listeners = Listeners { outbound, readiness, control_plane };
+            let settings = CheckedSettings { node, file, listeners };
+            local.block_on(&runtime, notchspool_data_plane::run::run(settings, signals))
         }
         _ => return Err(format!("no part `{role}`")),
     };
@@ -82,9 +88,14 @@
 pub fn run(asked: &Scale) -> Result<ExitCode, String> {
     let own = std::env::current_exe().map_err(|e| format!("where this program is: {e}"))?;
     let beside = own.parent().map(PathBuf::from);
-    let both = |at: &PathBuf| ["prompter", "usher"].iter().all(|role| at.join(role).is_file());
+    let both = |at: &PathBuf| {
+        ["notchspool-control-plane", "notchspool-proxy"].iter().all(|program| at.join(program).is_file())
+    };
     if let Some(at) = asked.programs.iter().find(|at| !both(at)) {
-        return Err(format!("{}: prompter and usher are not both there", at.display()));
+        return Err(format!(
+            "{}: notchspool-control-plane and notchspool-proxy are not both there",
+            at.display()
+        ));
     }
     let name = format!("notchspool-scale-{}", std::process::id());
     let plan = Plan {
@@ -92,8 +103,8 @@
         own,
         folder: asked.disks.clone().unwrap_or_else(std::env::temp_dir).join(name),
         seed: asked.seed,
-        prompters: asked.prompters,
-        ushers: asked.ushers,
+        replicas: asked.replicas,
+        proxies: asked.proxies,
         hollow: asked.hollow,
         threads: asked.threads,
         services: asked.services,
--- a/crates/cli/tests/scale.rs
+++ b/crates/cli/tests/scale.rs
@@ -9,11 +9,11 @@
 #[test]
 fn every_hollow_agent_is_told_the_list_configurations_and_drains() {
     let ran = scale(
-        "--hollow 12 --ushers 1 --threads 2 --services 4 --routes 8 --seed 3 --span-s 1 --words 2 --drains 2 --changes 5 --claims 20",
+        "--hollow 12 --proxies 1 --threads 2 --services 4 --routes 8 --seed 3 --span-s 1 --words 2 --drains 2 --changes 5 --claims 20",
     );
     let (out, err) = (String::from_utf8_lossy(&ran.stdout), String::from_utf8_lossy(&ran.stderr));
     assert_eq!(ran.status.code(), Some(0), "{out}{err}");
-    assert!(out.contains("12 hollow agents, 1 real ushers, seed 3; told all: 12;"), "{out}");
+    assert!(out.contains("12 hollow agents, 1 real proxies, seed 3; told all: 12;"), "{out}");
     // Both configurations and both drains reached each agent, the one that drains too.
     assert_eq!(out.matches("2 events, told 24 of 24").count(), 2, "{out}");
     // Some claims end, granted or late on a slow disk; no two agents ever claim one key.
@@ -23,7 +23,7 @@
 #[test]
 fn a_plan_that_asks_for_too_much_is_refused_with_what_it_would_need() {
     let rows = [
-        ("--ushers 297", "would need 301 processes, 300 are allowed"),
+        ("--proxies 297", "would need 301 processes, 300 are allowed"),
         ("--hollow 200000", "MB are allowed"),
         ("--span-s 400", "900s are allowed"),
         ("--claims 30000", "over 20000 claims"),
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,5 +1,9 @@
-//! The control plane. `office`: all that a prompter decides, without I/O, so that tests play several of them in virtual time; `seats`: votes
-//! as messages; `house`: sockets, disk thread and clock around it.
-pub mod house;
-pub mod office;
-pub mod seats;
+//! The control plane of the mesh.
+//!
+//! [`replica`] is all that one replica decides, without I/O, so that tests play several of them in virtual time; [`wire`] turns votes into
+//! messages and back; [`server`] puts sockets, a disk thread and a clock around it.
+#![warn(missing_docs)]
+
+pub mod replica;
+pub mod server;
+pub mod wire;
--- a/crates/control-plane/tests/answers.rs
+++ b/crates/control-plane/tests/answers.rs
@@ -37,7 +37,7 @@
     }
 
     /// Status, head and body; none while it does not listen.
-    fn ask(&self, line: &str, body: &str) -> Option<(u16, String, String)> {
+    fn request(&self, line: &str, body: &str) -> Option<(u16, String, String)> {
         let mut stream = TcpStream::connect((self.ip, 8307)).ok()?;
         stream.set_read_timeout(Some(BOUND)).unwrap();
         let length = body.len();
@@ -53,13 +53,13 @@
     }
 
     fn put(&self, body: &str) -> (u16, String, String) {
-        self.ask("POST /notchspool/rpc?call=config.replace", body).unwrap()
+        self.request("POST /notchspool/rpc?call=config.replace", body).unwrap()
     }
 
     fn until(&self, what: &str, is: impl Fn(u16, &str) -> bool) -> (u16, String, String) {
         let end = Instant::now() + BOUND;
         loop {
-            let found = self.ask("GET /notchspool/ready", "");
+            let found = self.request("GET /notchspool/ready", "");
             match found {
                 Some(answer) if is(answer.0, &answer.2) => return answer,
                 _ => assert!(Instant::now() < end, "{what}: {found:?}"),
@@ -84,26 +84,26 @@
 #[test]
 fn one_body_for_a_number_and_a_clear_no_to_another() {
     let program = Program::start("one", "127.77.1.1", &["127.77.1.1"]);
-    program.until("it is sure", |status, _| status == 200);
+    program.until("it is confirmed", |status, _| status == 200);
     assert_eq!(program.put(&body(5, "x")).0, 200);
     let (status, _, why) = program.put(&body(5, "y"));
     assert_eq!((status, why.as_str()), (409, "not taken: another body holds under 5; version 5 is in force"));
     assert_eq!(program.put(&body(9, "z")).0, 200);
     let again = body(5, "x").replace(":{}", ": {}");
     assert_eq!((program.put(&again).0, program.put(&body(5, "y")).0), (200, 409));
-    let (status, _, read) = program.ask("POST /notchspool/rpc?call=config.read", "").unwrap();
+    let (status, _, read) = program.request("POST /notchspool/rpc?call=config.read", "").unwrap();
     assert_eq!((status, read), (200, body(9, "z")));
-    assert_eq!(program.until("it is sure", |status, _| status == 200).2, "version 9 is the newest");
+    assert_eq!(program.until("it is confirmed", |status, _| status == 200).2, "version 9 is the newest");
 }
 
 #[test]
-fn without_more_than_half_callers_are_sent_on_within_a_second() {
+fn without_a_majority_callers_are_sent_on_within_a_second() {
     let program = Program::start("three", "127.77.2.1", &["127.77.2.1", "127.77.2.2", "127.77.2.3"]);
     program.until("it names the others", |status, why| status == 503 && why.contains("127.77.2.2:8307"));
     for line in ["POST /notchspool/rpc?call=config.replace", "POST /notchspool/rpc?call=config.read"] {
-        let asked = Instant::now();
-        let (status, head, why) = program.ask(line, &body(5, "x")).unwrap();
-        assert!(asked.elapsed() < CALLER, "{:?}", asked.elapsed());
+        let called_at = Instant::now();
+        let (status, head, why) = program.request(line, &body(5, "x")).unwrap();
+        assert!(called_at.elapsed() < CALLER, "{:?}", called_at.elapsed());
         assert_eq!(status, 503, "{why}");
         let place = line.trim_start_matches("POST ");
         let elsewhere = ["127.77.2.2", "127.77.2.3"].map(|ip| format!("location: http://{ip}:8307{place}"));
--- a/crates/control-plane/tests/signals.rs
+++ b/crates/control-plane/tests/signals.rs
@@ -37,13 +37,13 @@
             .stderr(Stdio::piped())
             .spawn()
             .unwrap();
-        let (told, lines) = channel();
+        let (sender, lines) = channel();
         let log = BufReader::new(child.stderr.take().unwrap());
-        std::thread::spawn(move || log.lines().map_while(Result::ok).all(|line| told.send(line).is_ok()));
+        std::thread::spawn(move || log.lines().map_while(Result::ok).all(|line| sender.send(line).is_ok()));
         Program { child, lines, folder, ip }
     }
 
-    fn says(&self, what: &str) {
+    fn expect_log_line(&self, what: &str) {
         loop {
             match self.lines.recv_timeout(BOUND) {
                 Ok(line) if line.contains(what) => return,
@@ -95,7 +95,7 @@
     fn ends_in_order(mut self) {
         assert_eq!(self.child.try_wait().unwrap(), None, "it ended by itself");
         self.signal("-TERM");
-        self.says("ends on SIGTERM");
+        self.expect_log_line("ends on SIGTERM");
         assert_eq!(self.child.wait().unwrap().code(), Some(0));
         let _ = std::fs::remove_dir_all(&self.folder);
     }
@@ -111,12 +111,12 @@
 #[test]
 fn hangup_twice_in_a_row_reads_the_settings_and_ends_nothing() {
     let program = Program::start("twice", "127.0.81.1", |_| {});
-    program.says("listens at");
+    program.expect_log_line("listens at");
     program.takes(3);
     program.rewrite(&settings(&program.folder, program.ip, &[program.ip, "127.0.81.9"]));
     program.signal("-HUP");
     program.signal("-HUP");
-    program.says("settings have changed");
+    program.expect_log_line("settings have changed");
     program.takes(4);
     program.ends_in_order();
 }
@@ -124,13 +124,13 @@
 #[test]
 fn settings_rewritten_without_a_signal_are_read_and_senseless_ones_change_nothing() {
     let program = Program::start("silent", "127.0.81.2", |_| {});
-    program.says("listens at");
+    program.expect_log_line("listens at");
     program.rewrite(&settings(&program.folder, program.ip, &["127.0.81.9"]));
-    program.says("settings have changed");
-    let whole = settings(&program.folder, program.ip, &[program.ip]);
-    program.rewrite(&whole[..whole.len() / 2]);
+    program.expect_log_line("settings have changed");
+    let complete = settings(&program.folder, program.ip, &[program.ip]);
+    program.rewrite(&complete[..complete.len() / 2]);
     program.signal("-HUP");
-    program.says("settings stay as they were");
+    program.expect_log_line("settings stay as they were");
     program.takes(5);
     program.ends_in_order();
 }
@@ -141,11 +141,11 @@
     let program = Program::start("early", "127.0.81.3", |folder| {
         std::fs::write(folder.join("data"), "in the way").unwrap();
     });
-    program.says("can't open the folder");
+    program.expect_log_line("can't open the folder");
     program.signal("-HUP");
     program.signal("-HUP");
     std::fs::remove_file(program.folder.join("data")).unwrap();
-    program.says("listens at");
+    program.expect_log_line("listens at");
     program.takes(6);
     program.ends_in_order();
 }
--- a/crates/data-plane/src/attempts.rs
+++ b/crates/data-plane/src/attempts.rs
@@ -2,7 +2,7 @@
 //! what may not be repeated goes nowhere else once it may have run; 503 is said only of what has not run and never will, or may be
 //! repeated anyway; arrivals at backends past the first are paid for, and no more than the route allows.
 use notchspool::units::Micros;
-use notchspool_mesh_protocol::{Said, Ticket, Verdict};
+use notchspool_mesh_protocol::{Response, Ticket, Verdict};
 
 /// With less time left nobody asks whether a key was claimed.
 const FENCE: Micros = Micros::ms(60);
@@ -25,7 +25,7 @@
     /// It is to be sent somewhere now.
     Post,
     /// That came of it.
-    Came(&'a Said),
+    Came(&'a Response),
     /// A claim for its key was made with this ticket, in place of the one that was sent: whether it was granted.
     Fenced(Ticket, bool),
     /// There is nobody to whom it can be sent.
@@ -50,7 +50,7 @@
     AtWork,
     /// 502: the key ran, and its answer is lost.
     Lost,
-    /// Another usher has the key's answer.
+    /// Another proxy has the key's answer.
     FromHolder,
 }
 
@@ -96,7 +96,7 @@
             Event::Post => {
                 let turn = self.posted;
                 self.posted += 1;
-                Next::Send(turn, self.terms.ticket.map(|t| Ticket { turn, ..t }))
+                Next::Send(turn, self.terms.ticket.map(|t| Ticket { attempt: turn, ..t }))
             }
             Event::Nobody => self.ends(now),
             Event::Fenced(ticket, granted) => {
@@ -115,16 +115,16 @@
         }
     }
 
-    fn came(&mut self, now: Micros, said: &Said, spend: &dyn Fn() -> bool) -> Next {
+    fn came(&mut self, now: Micros, said: &Response, spend: &dyn Fn() -> bool) -> Next {
         let verdict = said.verdict();
-        let fence = verdict == Verdict::MayHaveRun && !said.arrived && self.terms.ticket.is_some();
+        let fence = verdict == Verdict::MayHaveRun && !said.reached_backend && self.terms.ticket.is_some();
         if verdict != Verdict::Answered {
-            self.why.clone_from(&said.why);
+            self.why.clone_from(&said.reason);
         }
         if fence && self.terms.until - now > FENCE {
             return Next::Fence;
         }
-        if said.arrived || verdict == Verdict::MayHaveRun {
+        if said.reached_backend || verdict == Verdict::MayHaveRun {
             (self.arrivals, self.paid) = (self.arrivals + 1, false);
         }
         match verdict {
@@ -133,15 +133,15 @@
                 Next::Again
             }
             Verdict::Answered => Next::Relay,
-            Verdict::NotRun | Verdict::Elsewhere => {
-                if said.retry_ms > 0 {
-                    self.retry = Micros::ms(i64::from(said.retry_ms));
+            Verdict::NotRun | Verdict::WrongInstance => {
+                if said.retry_after_ms > 0 {
+                    self.retry = Micros::ms(i64::from(said.retry_after_ms));
                 }
-                self.not_run(now, said.ends, spend)
+                self.not_run(now, said.final_refusal, spend)
             }
-            Verdict::Working => Next::AtWork,
-            Verdict::Lost => Next::Lost,
-            Verdict::Held => Next::FromHolder,
+            Verdict::InProgress => Next::AtWork,
+            Verdict::ResponseLost => Next::Lost,
+            Verdict::HeldElsewhere => Next::FromHolder,
             Verdict::MayHaveRun => {
                 self.may_have_run = true;
                 self.may_have_run(now, spend)
--- a/crates/data-plane/src/callboy.rs
+++ b/crates/data-plane/src/callboy.rs
@@ -1,19 +1,22 @@
-//! Connections to the prompters: all of them for stations, claims and what holds; one of them is followed for the list.
+//! Connections to the replicas: all of them for stations, claims and what holds; one of them is followed for the list.
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
 use notchspool::units::Micros;
-use notchspool_idempotency::round::{Round, Verdict};
-use notchspool_mesh_protocol::texts::Heard;
-use notchspool_mesh_protocol::{Claim, Claimed, Hello, Ping, Ticket, Unwatch, Want, Watch, What, Withdraw};
-use notchspool_runtime::rope::{self, Rope};
+use notchspool_idempotency::claim_proposal::{ClaimProposal, Outcome as ClaimOutcome};
+use notchspool_mesh_protocol::text_transfer::Incoming;
+use notchspool_mesh_protocol::{
+    Claim, ClaimReply, ConfigRequest, Hello, Payload, Ping, Ticket, UnwatchEndpoints, WatchEndpoints,
+    WithdrawClaim,
+};
+use notchspool_runtime::frame_connection::{self, FrameSender};
 use tokio::sync::oneshot;
 
 use crate::house::{House, within};
 use crate::voters::{Hand, Voter};
 
-/// How often a prompter is told that this usher lives.
+/// How often a replica is told that this proxy lives.
 const PULSE: Duration = Duration::from_millis(500);
 const SILENCE: Duration = Duration::from_millis(2_200);
 /// A claim that has no majority by then has none.
@@ -24,13 +27,13 @@
 const ASK_AGAIN: Micros = Micros::ms(50);
 /// Claims in hand at most.
 const MOST: usize = 10_000;
-/// What holds comes by itself from the board that is followed: another prompter is asked for it only after this, one at a time. Where none
+/// What holds comes by itself from the board that is followed: another replica is asked for it only after this, one at a time. Where none
 /// is followed, sooner.
 const BEFORE_ASKING: Duration = Duration::from_millis(500);
 const UNFOLLOWED: Duration = Duration::from_millis(40);
 /// A board that is nearer than the one followed is followed instead, after this and as much again by chance: by then it has gathered.
 const NEARER: Duration = Duration::from_millis(2_000);
-/// What a prompter has that isn't sure of it is taken only where no sure one has answered for so long.
+/// What a replica has that isn't sure of it is taken only where no sure one has answered for so long.
 const BEFORE_UNSURE: Duration = Duration::from_millis(1_000);
 
 /// Which board is to be followed from now on, of those in reach (address and zone): a near one before others. None: the one that is followed goes on,
@@ -48,7 +51,7 @@
 }
 
 impl House {
-    /// Keeps a connection to a prompter for as long as this process lives and it votes.
+    /// Keeps a connection to a replica for as long as this process lives and it votes.
     pub fn call(self: &Rc<House>, address: String) {
         if !self.voters.dialed.borrow_mut().insert(address.clone()) {
             return;
@@ -58,13 +61,13 @@
             let Ok(to) = address.parse::<SocketAddr>() else { return };
             let mut failures = 0u32;
             loop {
-                if let Ok(stream) = rope::dial(to, Duration::from_millis(800)).await {
+                if let Ok(stream) = frame_connection::connect(to, Duration::from_millis(800)).await {
                     failures = 0;
-                    let rope = Rope::default();
+                    let rope = FrameSender::default();
                     let conn = house.number();
-                    rope.send(house.voters.texts.borrow_mut().send(conn, house.hello()));
+                    rope.send(house.voters.texts.borrow_mut().outgoing(conn, house.hello()));
                     let end = house.attend(stream, &address, conn, rope).await;
-                    house.voters.texts.borrow_mut().closed(conn);
+                    house.voters.texts.borrow_mut().on_closed(conn);
                     log::debug!(target: "callboy", "lose {address}: {end}");
                     house.lost(&address);
                 }
@@ -83,11 +86,11 @@
         });
     }
 
-    fn hello(&self) -> What {
+    fn hello(&self) -> Payload {
         let told = self.told.borrow();
-        What::Hello(Hello {
+        Payload::Hello(Hello {
             node: told.node.clone(),
-            life: self.life,
+            boot_id: self.life,
             zone: told.zone.clone(),
             address: self.own.clone(),
             role: 1,
@@ -100,30 +103,31 @@
         stream: tokio::net::TcpStream,
         address: &str,
         conn: u64,
-        rope: Rope,
-    ) -> rope::End {
+        rope: FrameSender,
+    ) -> frame_connection::CloseReason {
         let pulse = async {
             let mut number = 0;
             loop {
                 tokio::time::sleep(PULSE).await;
                 number += 1;
-                rope.send(What::Ping(Ping { number }));
+                rope.send(Payload::Ping(Ping { number }));
             }
         };
         let (sends, house) = (rope.clone(), self.clone());
-        let run = rope::run(stream, rope.clone(), Some(SILENCE), |what| {
-            let heard = house.voters.texts.borrow_mut().hear(conn, what);
+        let run = frame_connection::run(stream, rope.clone(), Some(SILENCE), |what| {
+            let heard = house.voters.texts.borrow_mut().incoming(conn, what);
             match heard {
-                Heard::Says(what) => house.prompted(address, &sends, what),
-                Heard::Ask(what) => {
+                Incoming::Message(what) => house.prompted(address, &sends, what),
+                Incoming::Reply(what) => {
                     house.count("differences_refused");
                     sends.send(what);
                 }
-                Heard::Done => house.count("messages_unknown"),
+                Incoming::Nothing => house.count("messages_unknown"),
             }
         });
-        let end = tokio::select! { end = run => end, () = pulse => rope::End::Dropped };
-        (0..rope.senseless()).for_each(|_| self.count("messages_unknown"));
+        let end =
+            tokio::select! { end = run => end, () = pulse => frame_connection::CloseReason::ClosedHere };
+        (0..rope.malformed_frames()).for_each(|_| self.count("messages_unknown"));
         end
     }
 
@@ -143,7 +147,7 @@
         }
     }
 
-    /// Follows one of the boards in reach, a near one before others: what holds then crosses zones once for a prompter, not once for an usher.
+    /// Follows one of the boards in reach, a near one before others: what holds then crosses zones once for a replica, not once for a proxy.
     fn follow(&self) {
         let own = self.told.borrow().zone.clone();
         let open = self.voters.open.borrow();
@@ -151,24 +155,25 @@
         let old = self.voters.followed.borrow().clone();
         let Some(new) = board(&own, old.as_deref(), &boards, self.dart()) else { return };
         if let Some(old) = old.and_then(|a| open.get(&a)) {
-            old.rope.send(What::Unwatch(Unwatch {}));
+            old.rope.send(Payload::UnwatchEndpoints(UnwatchEndpoints {}));
         }
         *self.voters.followed.borrow_mut() = Some(new.to_string());
-        let watch = Watch { have: self.playbill.borrow().version(), line: self.voters.line.get() };
+        let watch =
+            WatchEndpoints { version: self.playbill.borrow().version(), numbered_by: self.voters.line.get() };
         if let Some(voter) = open.get(new) {
-            voter.rope.send(What::Watch(watch));
+            voter.rope.send(Payload::WatchEndpoints(watch));
         }
     }
 
-    fn prompted(self: &Rc<House>, address: &str, rope: &Rope, what: What) {
+    fn prompted(self: &Rc<House>, address: &str, rope: &FrameSender, what: Payload) {
         match what {
-            What::Welcome(welcome) => {
+            Payload::Welcome(welcome) => {
                 let voter = Voter {
                     rope: rope.clone(),
                     zone: welcome.zone,
-                    holds: Some((welcome.chosen, welcome.sure)),
+                    holds: Some((welcome.chosen_version, welcome.confirmed)),
                 };
-                if let Some(set) = welcome.set.filter(|s| s.number > self.voters.set.get()) {
+                if let Some(set) = welcome.voter_set.filter(|s| s.number > self.voters.set.get()) {
                     self.learn(set);
                 }
                 if let Some(station) = &welcome.recalled {
@@ -177,7 +182,7 @@
                 if self.voters.list.borrow().iter().any(|v| v == address) {
                     self.voters.open.borrow_mut().insert(address.to_string(), voter);
                     if let Some(station) = self.station() {
-                        rope.send(What::Station(station));
+                        rope.send(Payload::Endpoint(station));
                     }
                     if self.voters.followed.borrow().is_none() {
                         self.follow();
@@ -185,29 +190,29 @@
                         self.nearer();
                     }
                     let bare = self.script.borrow().is_none();
-                    self.holding(rope, (welcome.chosen, welcome.sure), bare);
+                    self.holding(rope, (welcome.chosen_version, welcome.confirmed), bare);
                 }
             }
-            What::Holding(holding) => {
+            Payload::KnownVersion(holding) => {
                 if let Some(voter) = self.voters.open.borrow_mut().get_mut(address) {
-                    voter.holds = Some((holding.chosen, holding.sure));
+                    voter.holds = Some((holding.version, holding.confirmed));
                 }
                 let bare = self.script.borrow().is_none();
-                self.holding(rope, (holding.chosen, holding.sure), bare);
+                self.holding(rope, (holding.version, holding.confirmed), bare);
             }
-            What::Word(word) => match notchspool_mesh_protocol::unpack(&word) {
+            Payload::ConfigUpdate(word) => match word.checked_body() {
                 Some(body) => self.word(word.version, &body),
                 None => self.count("messages_unknown"),
             },
-            What::Bill(bill) => {
+            Payload::EndpointUpdate(bill) => {
                 if self.voters.followed.borrow().as_deref() == Some(address) {
                     self.voters.failures.set(0);
-                    self.voters.line.set(bill.line);
+                    self.voters.line.set(bill.numbered_by);
                     self.listed(bill);
                 }
             }
             // A vote counts for who it came from.
-            What::Claimed(claimed) => {
+            Payload::ClaimReply(claimed) => {
                 let place = claimed.voter as usize;
                 let own = self.voters.list.borrow().get(place).is_some_and(|v| v == address);
                 match own || claimed.vote == 0 {
@@ -215,7 +220,7 @@
                     false => self.count("votes_astray"),
                 }
             }
-            What::Pong(_) => {}
+            Payload::Pong(_) => {}
             _ => self.count("messages_unknown"),
         }
     }
@@ -231,12 +236,12 @@
     }
 
     /// Another set of voters is decided: who votes no more is followed no more, and claims in hand are asked anew of the new ones.
-    fn learn(self: &Rc<House>, set: notchspool_mesh_protocol::Set) {
+    fn learn(self: &Rc<House>, set: notchspool_mesh_protocol::VoterSet) {
         let list: Vec<String> = set.members.into_iter().map(|m| m.address).collect();
         self.voters.set.set(set.number);
         self.voters.list.borrow_mut().clone_from(&list);
         for hand in self.voters.hands.borrow_mut().values_mut() {
-            hand.round.change(set.number, list.len());
+            hand.round.on_set_changed(set.number, list.len());
             hand.again = true;
         }
         self.voters.open.borrow_mut().retain(|address, _| list.contains(address));
@@ -249,7 +254,7 @@
     }
 
     /// That a version holds: where it does not come by itself it is asked for.
-    fn holding(self: &Rc<House>, rope: &Rope, (chosen, sure): (u64, bool), at_once: bool) {
+    fn holding(self: &Rc<House>, rope: &FrameSender, (chosen, sure): (u64, bool), at_once: bool) {
         let lacks = move |house: &House| house.script.borrow().as_ref().map_or(0, |s| s.version) < chosen;
         if !lacks(self) || (sure && chosen <= self.voters.awaited.get()) {
             return;
@@ -267,7 +272,7 @@
         tokio::task::spawn_local(async move {
             tokio::time::sleep(wait).await;
             if lacks(&house) {
-                rope.send(What::Want(Want { version: chosen }));
+                rope.send(Payload::ConfigRequest(ConfigRequest { version: chosen }));
                 tokio::time::sleep(BEFORE_ASKING).await;
             }
             if house.voters.awaited.get() == chosen {
@@ -290,22 +295,22 @@
     // ---- Claims -----------------------------------------------------------------------------------------
 
     /// Claims a key for a ticket at all voters.
-    pub async fn claim(&self, key: &str, ticket: Ticket) -> Verdict {
+    pub async fn claim(&self, key: &str, ticket: Ticket) -> ClaimOutcome {
         let id = self.number();
         let (set, voters) = (self.voters.set.get(), self.voters.list.borrow().len());
         if voters == 0 || self.voters.hands.borrow().len() >= MOST {
-            return Verdict::Nobody;
+            return ClaimOutcome::Undecided;
         }
         let (done, wait) = oneshot::channel();
-        let hand = Hand { round: Round::begin(set, voters), again: false, done: Some(done) };
+        let hand = Hand { round: ClaimProposal::new(set, voters), again: false, done: Some(done) };
         self.voters.hands.borrow_mut().insert(id, hand);
         let mut claim = Claim {
             id,
             key: key.to_string(),
             ticket: Some(ticket),
             holder: self.own.clone(),
-            holder_life: self.life,
-            set,
+            holder_boot_id: self.life,
+            set_number: set,
             age_ms: 0,
         };
         let (began, mut wait) = (self.now(), std::pin::pin!(wait));
@@ -315,7 +320,7 @@
                 verdict = within(ASK_AGAIN, wait.as_mut()).await;
                 let waited = self.now() - began;
                 let again = match self.voters.hands.borrow_mut().get_mut(&id) {
-                    Some(hand) => std::mem::take(&mut hand.again).then(|| hand.round.set()),
+                    Some(hand) => std::mem::take(&mut hand.again).then(|| hand.round.set_number()),
                     None => None,
                 };
                 if again.is_some() {
@@ -326,7 +331,7 @@
                 }
                 if let Some(set) = again {
                     // The same ticket: whoever has granted it does so again.
-                    claim.set = set;
+                    claim.set_number = set;
                     self.ask_voters(&claim);
                 }
             }
@@ -334,7 +339,7 @@
         let hand = self.voters.hands.borrow_mut().remove(&id);
         match verdict {
             Some(Ok(verdict)) => verdict,
-            _ => hand.map_or(Verdict::Nobody, |h| h.round.verdict(true)),
+            _ => hand.map_or(ClaimOutcome::Undecided, |h| h.round.outcome(true)),
         }
     }
 
@@ -343,21 +348,21 @@
         let (hands, list) = (self.voters.hands.borrow(), self.voters.list.borrow());
         let Some(hand) = hands.get(&claim.id) else { return 0 };
         let mut sent = 0;
-        for (_, address) in list.iter().enumerate().filter(|(at, _)| hand.round.open(*at)) {
+        for (_, address) in list.iter().enumerate().filter(|(at, _)| hand.round.is_outstanding(*at)) {
             if let Some(voter) = self.voters.open.borrow().get(address) {
-                sent += usize::from(voter.rope.send(What::Claim(claim.clone())));
+                sent += usize::from(voter.rope.send(Payload::Claim(claim.clone())));
             }
         }
         sent
     }
 
-    fn claimed(&self, claimed: Claimed) {
+    fn claimed(&self, claimed: ClaimReply) {
         let mut hands = self.voters.hands.borrow_mut();
         let Some(hand) = hands.get_mut(&claimed.id) else { return };
-        hand.again |= claimed.changing;
-        hand.round.hear(claimed);
-        let verdict = hand.round.verdict(false);
-        if verdict != Verdict::Open
+        hand.again |= claimed.reconfiguring;
+        hand.round.on_reply(claimed);
+        let verdict = hand.round.outcome(false);
+        if verdict != ClaimOutcome::Pending
             && let Some(done) = hand.done.take()
         {
             // Whoever waited may have given up.
@@ -367,6 +372,7 @@
 
     /// It has not run and never will.
     pub fn withdraw(&self, key: &str, ticket: Ticket) {
-        self.voters.send_all(What::Withdraw(Withdraw { key: key.to_string(), ticket: Some(ticket) }));
+        self.voters
+            .send_all(Payload::WithdrawClaim(WithdrawClaim { key: key.to_string(), ticket: Some(ticket) }));
     }
 }
--- a/crates/data-plane/src/company.rs
+++ b/crates/data-plane/src/company.rs
@@ -1,11 +1,11 @@
-//! The decision module for one service, as this usher calls it: entries from the list, schemes from routes, orders that come back.
+//! The decision module for one service, as this proxy calls it: entries from the list, schemes from routes, orders that come back.
 use std::collections::{BTreeMap, HashMap};
 
 use notchspool::logic::{Balancer, Txn};
 use notchspool::units::*;
-use notchspool_endpoint_registry::playbill::Changes;
+use notchspool_endpoint_registry::endpoint_list::Changes;
 use notchspool_mesh_config::route_config::{Route, RouteKind};
-use notchspool_mesh_protocol::{State, Station};
+use notchspool_mesh_protocol::{Endpoint, EndpointState};
 
 use crate::purse::Purse;
 
@@ -57,7 +57,7 @@
 pub struct Company {
     balancer: Balancer,
     ids: HashMap<String, BackendId>,
-    stations: Vec<Station>,
+    stations: Vec<Endpoint>,
     schemes: BTreeMap<(bool, bool, i64), SchemeId>,
     zones: BTreeMap<String, ZoneId>,
     pub purse: Purse,
@@ -93,7 +93,7 @@
         }
     }
 
-    pub fn station(&self, id: BackendId) -> Option<&Station> {
+    pub fn station(&self, id: BackendId) -> Option<&Endpoint> {
         self.stations.get(id.0 as usize)
     }
 
@@ -103,12 +103,12 @@
     }
 
     /// A place for this instance: its own, or that of one that has left.
-    fn place(&mut self, station: &Station) -> BackendId {
+    fn place(&mut self, station: &Endpoint) -> BackendId {
         if let Some(id) = self.ids.get(&station.instance) {
             self.stations[id.0 as usize] = station.clone();
             return *id;
         }
-        let free = self.stations.iter().position(|s| s.state() == State::Left);
+        let free = self.stations.iter().position(|s| s.state() == EndpointState::Left);
         let at = free.unwrap_or(self.stations.len());
         if at == self.stations.len() {
             self.stations.push(station.clone());
@@ -124,23 +124,23 @@
     /// The list changed, as of this version.
     pub fn listed(&mut self, now: Micros, version: u64, changes: &Changes) -> Vec<Order> {
         let mut entries = Vec::new();
-        for station in changes.absent.iter().chain(&changes.stations) {
-            if station.state() == State::Left && !self.ids.contains_key(&station.instance) {
+        for station in changes.removed.iter().chain(&changes.updated) {
+            if station.state() == EndpointState::Left && !self.ids.contains_key(&station.instance) {
                 continue;
             }
             let next = ZoneId(self.zones.len() as u32);
             let zone = *self.zones.entry(station.zone.clone()).or_insert(next);
             let standing = match station.state() {
-                State::Ready => Standing::Ready,
-                State::Draining | State::Away => Standing::Draining,
-                State::Missed | State::Unknown => Standing::Gone,
-                State::Left => {
+                EndpointState::Ready => Standing::Ready,
+                EndpointState::Draining | EndpointState::Away => Standing::Draining,
+                EndpointState::Missing | EndpointState::Unknown => Standing::Gone,
+                EndpointState::Left => {
                     let id = self.place(station);
                     self.balancer.dropped(id);
                     continue;
                 }
             };
-            let cold = Micros::ms(i64::from(station.cold_ms.min(600_000)));
+            let cold = Micros::ms(i64::from(station.warmup_ms.min(600_000)));
             let started = if cold > Micros(0) { now + cold - COLD } else { Micros(0) };
             let backend = self.place(station);
             let size = f64::from(station.slots.clamp(1, 4_096));
--- a/crates/data-plane/src/connection.rs
+++ b/crates/data-plane/src/connection.rs
@@ -11,7 +11,7 @@
 //! same id, and a refusal that came twice would be taken for the second one's. From the first byte written on, that request may have run
 //! till an answer with its id says what became of it.
 use notchspool::units::Micros;
-use notchspool_mesh_protocol::{Said, Verdict};
+use notchspool_mesh_protocol::{Response, Verdict};
 
 /// Answers to other requests that are passed over in the place of the one due.
 const MOST_ASTRAY: u32 = 4;
@@ -49,20 +49,22 @@
 }
 
 impl Word {
-    /// The same as it goes to the usher where the request began; `answer` is what the backend said.
-    pub fn said(self, id: u64, answer: Said) -> Said {
-        let only = |verdict: Verdict, arrived: bool, why: String| Said {
+    /// The same as it goes to the proxy where the request began; `answer` is what the backend said.
+    pub fn said(self, id: u64, answer: Response) -> Response {
+        let only = |verdict: Verdict, arrived: bool, why: String| Response {
             id,
             verdict: verdict.into(),
-            arrived,
-            why,
-            ..Said::default()
+            reached_backend: arrived,
+            reason: why,
+            ..Response::default()
         };
         match self {
-            Word::Answered => Said { id, verdict: Verdict::Answered.into(), arrived: true, ..answer },
+            Word::Answered => {
+                Response { id, verdict: Verdict::Answered.into(), reached_backend: true, ..answer }
+            }
             // These were arrivals, if ones that were turned away.
             Word::NotRun => only(Verdict::NotRun, true, format!("status {}", answer.status)),
-            Word::Elsewhere => only(Verdict::Elsewhere, true, "another backend has the address".into()),
+            Word::Elsewhere => only(Verdict::WrongInstance, true, "another backend has the address".into()),
             Word::MayHaveRun(why) => only(Verdict::MayHaveRun, true, why.into()),
         }
     }
--- a/crates/data-plane/src/desk.rs
+++ b/crates/data-plane/src/desk.rs
@@ -6,7 +6,7 @@
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode};
 use notchspool::units::Micros;
-use notchspool_endpoint_registry::beats::{Beat, Event};
+use notchspool_endpoint_registry::heartbeats::{Event, Heartbeat};
 use serde_json::Value;
 
 use crate::house::House;
@@ -24,7 +24,7 @@
 }
 
 /// A beat's body, checked; what is wrong names its field.
-pub fn beat(instance: &str, bytes: &[u8]) -> Result<Beat, String> {
+pub fn beat(instance: &str, bytes: &[u8]) -> Result<Heartbeat, String> {
     let value: Value = serde_json::from_slice(bytes).map_err(|e| format!("body: is no JSON: {e}"))?;
     let field = |path: &str| value.pointer(path).ok_or_else(|| format!("{path}: is missing"));
     let text =
@@ -38,15 +38,15 @@
     if instance.is_empty() || instance.len() > 256 {
         return Err("of: is no id".into());
     }
-    Ok(Beat {
+    Ok(Heartbeat {
         instance: instance.to_string(),
         service: text("/details/service")?,
         address: text("/address")?,
         zone: text("/details/zone")?,
         slots: whole("/details/freeSlots")?.min(100_000) as u32,
         draining: state == "draining",
-        cold: Micros((cold.clamp(0.0, 3_600.0) * 1e6) as i64),
-        calls: whole("/status/callCount")?,
+        warmup: Micros((cold.clamp(0.0, 3_600.0) * 1e6) as i64),
+        call_count: whole("/status/callCount")?,
     })
 }
 
@@ -57,7 +57,7 @@
             return match (self.ready(), self.voters.newest()) {
                 (true, Some(_)) => answer(200, "ready\n"),
                 (true, None) => {
-                    answer(200, "ready, on a configuration that no majority of prompters vouches for\n")
+                    answer(200, "ready, on a configuration that no majority of replicas vouches for\n")
                 }
                 (false, _) => answer(503, "not ready\n"),
             };
@@ -83,7 +83,7 @@
         match call.as_str() {
             "instances.heartbeat" => match beat(&of, &body.to_bytes()) {
                 Ok(beat) => {
-                    self.backend(Event::Beat(beat));
+                    self.backend(Event::Heartbeat(beat));
                     answer(200, "{}")
                 }
                 Err(why) => {
@@ -109,7 +109,7 @@
         let (open, voters) = self.voters.reached();
         lines.push(format!("configuration_version {script}"));
         lines.push(format!("list_version {}", self.playbill.borrow().version()));
-        lines.push(format!("prompters_reached {open} of {voters}"));
+        lines.push(format!("replicas_reached {open} of {voters}"));
         lines.push(format!("in_hand {}", self.in_hand.get()));
         lines.push(format!("kept_answer_bytes {}", self.coats.borrow().bytes()));
         for (service, company) in self.companies.borrow().iter() {
@@ -129,7 +129,10 @@
     #[test]
     fn a_beat_is_read_and_a_senseless_one_names_its_field() {
         let read = beat("i-1", SOUND.as_bytes()).unwrap();
-        assert_eq!((read.slots, read.calls, read.draining, read.cold), (6, 4, false, Micros::ms(1_500)));
+        assert_eq!(
+            (read.slots, read.call_count, read.draining, read.warmup),
+            (6, 4, false, Micros::ms(1_500))
+        );
         let rows = [
             (r#""freeSlots":6"#, r#""freeSlots":-6"#, "/details/freeSlots"),
             (r#""state":"ready""#, r#""state":"odd""#, "/status/state"),
--- a/crates/data-plane/src/dressing.rs
+++ b/crates/data-plane/src/dressing.rs
@@ -4,7 +4,7 @@
 
 use bytes::{Bytes, BytesMut};
 use notchspool::units::Micros;
-use notchspool_mesh_protocol::{Ask, MOST_PAIRS, Pair, Said, Verdict};
+use notchspool_mesh_protocol::{Header, MAX_HEADERS, Request, Response, Verdict};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
@@ -37,19 +37,25 @@
 
 /// What came of a request at the backend: its answer, or what else is known, as it goes on to where it began.
 pub struct Played {
-    pub said: Said,
+    pub said: Response,
     /// The rest of a large answer.
     pub rest: Option<Pipe>,
 }
 
 /// The backend took no connection, or none was asked for: not a byte was sent.
 fn not_reached(why: &str) -> Played {
-    Played { said: Said { verdict: Verdict::NotRun.into(), why: why.into(), ..Said::default() }, rest: None }
+    Played {
+        said: Response { verdict: Verdict::NotRun.into(), reason: why.into(), ..Response::default() },
+        rest: None,
+    }
 }
 
 fn may_have_run(why: &str) -> Played {
     let verdict = Verdict::MayHaveRun.into();
-    Played { said: Said { verdict, arrived: true, why: why.into(), ..Said::default() }, rest: None }
+    Played {
+        said: Response { verdict, reached_backend: true, reason: why.into(), ..Response::default() },
+        rest: None,
+    }
 }
 
 fn played(word: Word, answer: Answer) -> Played {
@@ -74,7 +80,7 @@
 }
 
 struct Answer {
-    said: Said,
+    said: Response,
     head: Head,
     /// Till when the connection may be used again; none where it may not.
     keep: Option<Micros>,
@@ -83,17 +89,17 @@
 }
 
 impl House {
-    pub async fn play(self: &Rc<House>, ask: &Ask, until: Micros) -> Played {
-        let Some(app) = self.told.borrow().app else {
+    pub async fn play(self: &Rc<House>, ask: &Request, until: Micros) -> Played {
+        let Some(app) = self.told.borrow().app_address else {
             return not_reached("no backend is told");
         };
         let left = until - self.now();
-        let (stream, connection) = match self.pool.take(self.now(), &ask.attempt) {
+        let (stream, connection) = match self.pool.take(self.now(), &ask.attempt_id) {
             Some(kept) => kept,
             None => match within(CONNECT.min(left), TcpStream::connect(app)).await {
                 Some(Ok(stream)) => {
                     let mut connection = Connection::fresh();
-                    connection.turn(Event::Ask { now: self.now(), attempt: &ask.attempt, quiet: true });
+                    connection.turn(Event::Ask { now: self.now(), attempt: &ask.attempt_id, quiet: true });
                     (stream, connection)
                 }
                 Some(Err(e)) => return not_reached(&format!("the backend takes no connection: {e}")),
@@ -113,7 +119,7 @@
         self: &Rc<House>,
         mut stream: TcpStream,
         mut connection: Connection,
-        ask: &Ask,
+        ask: &Request,
         left: Micros,
         until: Micros,
     ) -> Played {
@@ -124,7 +130,7 @@
         };
         let speed = self.told.borrow().link_mbps * 1e6 / 8.0;
         let least = ((speed * HOLDS_UP) as usize).clamp(LARGE.0, LARGE.1);
-        let large = ask.key.is_empty().then_some((ask.attempt.as_str(), least));
+        let large = ask.key.is_empty().then_some((ask.attempt_id.as_str(), least));
         let mut got = BytesMut::with_capacity(4096);
         loop {
             let answer =
@@ -160,10 +166,10 @@
                 let (pipe, left) = (Pipe::default(), length - first.len());
                 // Bytes behind the first part can only be part of the answer.
                 let (house, filled) = (self.clone(), pipe.clone());
-                self.large(ask.target_ms, length);
+                self.large(ask.latency_target_ms, length);
                 let rest = Rest { stream, connection, left, keep: answer.keep, surplus: !got.is_empty() };
                 tokio::task::spawn_local(pass_on(house, rest, filled, until));
-                let answer = Said { body: first, more: true, length: length as u64, ..answer.said };
+                let answer = Response { body: first, more: true, length: length as u64, ..answer.said };
                 return Played { said: Word::Answered.said(0, answer), rest: Some(pipe) };
             }
             let whole = Event::Whole { keep: answer.keep, surplus: !got.is_empty() };
@@ -199,7 +205,7 @@
     }
 }
 
-fn request(ask: &Ask, left: Micros) -> BytesMut {
+fn request(ask: &Request, left: Micros) -> BytesMut {
     let mut head = BytesMut::with_capacity(512);
     let mut put = |parts: &[&[u8]]| parts.iter().for_each(|p| head.extend_from_slice(p));
     put(&[
@@ -246,7 +252,7 @@
     large: Option<(&str, usize)>,
 ) -> Result<Answer, String> {
     loop {
-        let mut headers = [httparse::EMPTY_HEADER; MOST_PAIRS];
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut response = httparse::Response::new(&mut headers);
         let parsed = response.parse(got).map_err(|e| format!("no answer: {e}"))?;
         let httparse::Status::Complete(length) = parsed else {
@@ -333,7 +339,7 @@
     now: Micros,
 ) -> Result<(Answer, Framing), String> {
     let mut answer = Answer {
-        said: Said { status: u32::from(status), ..Said::default() },
+        said: Response { status: u32::from(status), ..Response::default() },
         head: Head { status, ..Head::default() },
         keep: (response.version == Some(1)).then_some(now + KEEP),
         rest: None,
@@ -379,7 +385,7 @@
             _ => {}
         }
         if !of_one_connection(&name) {
-            answer.said.headers.push(Pair { name, value: Bytes::copy_from_slice(header.value) });
+            answer.said.headers.push(Header { name, value: Bytes::copy_from_slice(header.value) });
         }
     }
     let framing = match (chunked, length) {
--- a/crates/data-plane/src/exchange.rs
+++ b/crates/data-plane/src/exchange.rs
@@ -1,4 +1,4 @@
-//! What is open on one connection between two ushers, without I/O: `Asking` at who opened it, `Answering` at the other end. Each exchange
+//! What is open on one connection between two proxies, without I/O: `Asking` at who opened it, `Answering` at the other end. Each exchange
 //! has an id that is never used again on its connection, and belongs to that connection alone: after a new start of either side there is
 //! another. One function each, `turn`, changes the state.
 //!
--- a/crates/data-plane/src/house.rs
+++ b/crates/data-plane/src/house.rs
@@ -1,17 +1,17 @@
-//! What all parts of one usher share. Parts borrow for a moment and never across a wait.
+//! What all parts of one proxy share. Parts borrow for a moment and never across a wait.
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 use std::time::Duration;
 
 use notchspool::units::Micros;
-use notchspool_endpoint_registry::beats::{Beat, Beats, Event};
-use notchspool_endpoint_registry::playbill::{Changes, Playbill};
-use notchspool_idempotency::coats::Coats;
+use notchspool_endpoint_registry::endpoint_list::{Changes, EndpointList};
+use notchspool_endpoint_registry::heartbeats::{Event, Heartbeat, HeartbeatTracker};
+use notchspool_idempotency::response_cache::ResponseCache;
 use notchspool_mesh_config::route_config::RouteConfig;
-use notchspool_mesh_protocol::{Bill, Said, State, Station, What};
+use notchspool_mesh_protocol::{Endpoint, EndpointState, EndpointUpdate, Payload, Response};
 use notchspool_runtime::Clock;
-use notchspool_runtime::told::Told;
+use notchspool_runtime::node_settings::NodeSettings;
 use oorandom::Rand64;
 use tokio::sync::oneshot;
 
@@ -27,23 +27,23 @@
 const KEPT_PART: u64 = 5;
 
 pub struct House {
-    pub told: RefCell<Told>,
+    pub told: RefCell<NodeSettings>,
     pub clock: Clock,
     pub life: u64,
     pub own: String,
     pub chance: RefCell<Rand64>,
     pub script: RefCell<Option<Rc<RouteConfig>>>,
-    pub playbill: RefCell<Playbill>,
+    pub playbill: RefCell<EndpointList>,
     pub companies: RefCell<BTreeMap<String, Company>>,
     pub links: Links,
     pub voters: Voters,
-    pub beats: RefCell<Beats>,
+    pub beats: RefCell<HeartbeatTracker>,
     pub door: RefCell<Door>,
     pub waiting: RefCell<HashMap<u64, oneshot::Sender<()>>>,
     /// Connections to the backend here that stand unused.
     pub pool: Pool,
-    pub coats: RefCell<Coats<Rc<Said>>>,
-    /// Since when this usher ends; whether others are told to send nothing here.
+    pub coats: RefCell<ResponseCache<Rc<Response>>>,
+    /// Since when this proxy ends; whether others are told to send nothing here.
     pub stopping: Cell<Option<Micros>>,
     pub away: Cell<bool>,
     pub in_hand: Cell<usize>,
@@ -58,13 +58,13 @@
 }
 
 impl House {
-    pub fn open(told: Told, life: u64) -> Rc<House> {
+    pub fn open(told: NodeSettings, life: u64) -> Rc<House> {
         let clock = Clock::start();
         let now = clock.now();
         let window = Micros(told.bounds.key_window.0 + 2_000_000);
         let kept = (told.memory_mb / KEPT_PART).max(4) as usize * (1 << 20);
         Rc::new(House {
-            own: told.inner(),
+            own: told.peer_address(),
             clock,
             life,
             chance: RefCell::new(Rand64::new(u128::from(life))),
@@ -73,11 +73,11 @@
             companies: RefCell::default(),
             links: Links::default(),
             voters: Voters::default(),
-            beats: RefCell::new(Beats::open(told.beat_interval, now)),
+            beats: RefCell::new(HeartbeatTracker::new(told.heartbeat_interval, now)),
             door: RefCell::new(Door::open(now)),
             waiting: RefCell::default(),
             pool: Pool::default(),
-            coats: RefCell::new(Coats::open(window, kept)),
+            coats: RefCell::new(ResponseCache::new(window, kept)),
             stopping: Cell::new(None),
             away: Cell::new(false),
             in_hand: Cell::new(0),
@@ -172,9 +172,10 @@
         let seed = (self.dart() * 1e15) as u64;
         let mut company = Company::open(&told.zone, bounds.drain, seed, purse, now);
         let playbill = self.playbill.borrow();
-        let stations = playbill.stations().filter(|s| s.service == service && s.state() != State::Left);
-        let changes = Changes { stations: stations.cloned().collect(), absent: Vec::new() };
-        if !changes.stations.is_empty() {
+        let stations =
+            playbill.endpoints().filter(|s| s.service == service && s.state() != EndpointState::Left);
+        let changes = Changes { updated: stations.cloned().collect(), removed: Vec::new() };
+        if !changes.updated.is_empty() {
             company.listed(now, playbill.version(), &changes);
         }
         company
@@ -182,23 +183,23 @@
 
     /// Agents that may spend further tries: all on the list, and half as many for those that it does not hold.
     fn agents(&self) -> usize {
-        let here = self.playbill.borrow().stations().filter(|s| s.state() != State::Left).count();
+        let here = self.playbill.borrow().endpoints().filter(|s| s.state() != EndpointState::Left).count();
         (here + here / 2).max(8)
     }
 
     /// A list came from the board that is followed.
-    pub fn listed(&self, bill: Bill) {
+    pub fn listed(&self, bill: EndpointUpdate) {
         let version = bill.version;
-        let Some(changes) = self.playbill.borrow_mut().take(bill) else {
+        let Some(changes) = self.playbill.borrow_mut().apply(bill) else {
             self.count("lists_older");
             return;
         };
         let mut by_service: BTreeMap<String, Changes> = BTreeMap::new();
-        for station in changes.absent {
-            by_service.entry(station.service.clone()).or_default().absent.push(station);
+        for station in changes.removed {
+            by_service.entry(station.service.clone()).or_default().removed.push(station);
         }
-        for station in changes.stations {
-            by_service.entry(station.service.clone()).or_default().stations.push(station);
+        for station in changes.updated {
+            by_service.entry(station.service.clone()).or_default().updated.push(station);
         }
         let (agents, slack, now) = (self.agents(), self.told.borrow().bounds.retry_slack, self.now());
         for (service, changes) in by_service {
@@ -233,11 +234,11 @@
         }
     }
 
-    /// Something happened to the backend here; the prompters are told where it changes what others have to know.
+    /// Something happened to the backend here; the replicas are told where it changes what others have to know.
     pub fn backend(&self, event: Event) {
         let now = self.now();
-        let changed = self.beats.borrow_mut().turn(now, event);
-        let slots = self.beats.borrow().own.as_ref().map(|o| o.beat.slots);
+        let changed = self.beats.borrow_mut().apply(now, event);
+        let slots = self.beats.borrow().backend.as_ref().map(|o| o.heartbeat.slots);
         if let Some(slots) = slots {
             self.door.borrow_mut().slots(slots);
         }
@@ -246,53 +247,53 @@
         }
     }
 
-    /// What an earlier life of this usher knew of the backend here, as a prompter has it.
-    pub fn recalled(&self, station: &Station) {
+    /// What an earlier life of this proxy knew of the backend here, as a replica has it.
+    pub fn recalled(&self, station: &Endpoint) {
         let told = self.told.borrow();
-        let here = told.app.map(|a| a.to_string()) == Some(station.address.clone())
+        let here = told.app_address.map(|a| a.to_string()) == Some(station.address.clone())
             && told.service == station.service;
         drop(told);
-        if here && station.usher == self.own {
-            self.backend(Event::Recalled(Beat {
+        if here && station.proxy == self.own {
+            self.backend(Event::Recalled(Heartbeat {
                 instance: station.instance.clone(),
                 service: station.service.clone(),
                 address: station.address.clone(),
                 zone: station.zone.clone(),
                 slots: station.slots,
-                draining: station.state() == State::Draining,
-                cold: Micros(0),
-                calls: station.calls,
+                draining: station.state() == EndpointState::Draining,
+                warmup: Micros(0),
+                call_count: station.call_count,
             }));
         }
     }
 
     /// The backend here as the others are to know it.
-    pub fn station(&self) -> Option<Station> {
+    pub fn station(&self) -> Option<Endpoint> {
         let (beats, now) = (self.beats.borrow(), self.now());
-        let own = beats.own.as_ref()?;
+        let own = beats.backend.as_ref()?;
         let state = match own.state {
-            // While this usher ends nobody reaches the backend through it.
-            State::Ready | State::Draining if self.away.get() => State::Away,
+            // While this proxy ends nobody reaches the backend through it.
+            EndpointState::Ready | EndpointState::Draining if self.away.get() => EndpointState::Away,
             state => state,
         };
-        Some(Station {
-            instance: own.beat.instance.clone(),
-            service: own.beat.service.clone(),
-            usher: self.own.clone(),
-            life: self.life,
+        Some(Endpoint {
+            instance: own.heartbeat.instance.clone(),
+            service: own.heartbeat.service.clone(),
+            proxy: self.own.clone(),
+            boot_id: self.life,
             number: 0,
-            zone: own.beat.zone.clone(),
-            slots: own.beat.slots,
+            zone: own.heartbeat.zone.clone(),
+            slots: own.heartbeat.slots,
             state: state.into(),
-            cold_ms: ((own.cold_until - now).0 / 1000).clamp(0, 600_000) as u32,
-            address: own.beat.address.clone(),
-            calls: own.beat.calls,
+            warmup_ms: ((own.warm_at - now).0 / 1000).clamp(0, 600_000) as u32,
+            address: own.heartbeat.address.clone(),
+            call_count: own.heartbeat.call_count,
         })
     }
 
     pub fn tell_station(&self) {
         if let Some(station) = self.station() {
-            self.voters.send_all(What::Station(station));
+            self.voters.send_all(Payload::Endpoint(station));
         }
     }
 
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -1,8 +1,8 @@
-//! The data plane, in every usher. Decisions without I/O: `attempts` (what becomes of a client's request after each try), `exchange` (what
-//! is open between two ushers), `operation` (a key beside its backend), `connection` (what is open at the backend), `door` (what may begin
+//! The data plane, in every proxy. Decisions without I/O: `attempts` (what becomes of a client's request after each try), `exchange` (what
+//! is open between two proxies), `operation` (a key beside its backend), `connection` (what is open at the backend), `door` (what may begin
 //! there), `purse` (further tries), `company` (the decision module for one service), `standstill` (a process that was frozen). State that
 //! the parts share: `link`, `pool`, `voters`, `pipe`, all held by `house`. With I/O, on top of it: `lobby` (requests that begin here),
-//! `links` (other ushers), `perform` and `dressing` (the backend here), `callboy` (prompters), `desk` (beats, readiness), `run` (the process).
+//! `links` (other proxies), `perform` and `dressing` (the backend here), `callboy` (replicas), `desk` (beats, readiness), `run` (the process).
 pub mod attempts;
 pub mod callboy;
 pub mod company;
--- a/crates/data-plane/src/link.rs
+++ b/crates/data-plane/src/link.rs
@@ -1,11 +1,11 @@
-//! What stands for one connection to another usher, and what comes back over it. `links` carries them.
+//! What stands for one connection to another proxy, and what comes back over it. `links` carries them.
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
 use notchspool::units::Micros;
-use notchspool_mesh_protocol::{Cancel, Part, Said, Taken, Verdict, What};
-use notchspool_runtime::rope::Rope;
+use notchspool_mesh_protocol::{BodyChunk, BodyConsumed, Cancel, Payload, Response, Verdict};
+use notchspool_runtime::frame_connection::FrameSender;
 use tokio::sync::oneshot;
 
 use crate::exchange::{Asking, Event, Step};
@@ -14,25 +14,25 @@
 /// An answer, and the rest of it where it comes in pieces; `taken` tells who sends them that so many bytes were passed on. Where it is
 /// dropped before the rest has come, the rest is given up.
 pub struct Told {
-    pub said: Said,
+    pub said: Response,
     pub pipe: Option<Pipe>,
     pub taken: Box<dyn Fn(usize)>,
 }
 
-impl From<Said> for Told {
-    fn from(said: Said) -> Told {
+impl From<Response> for Told {
+    fn from(said: Response) -> Told {
         Told { said, pipe: None, taken: Box::new(|_| ()) }
     }
 }
 
 /// An answer of this kind, with nothing in it but why.
-pub fn only(id: u64, verdict: Verdict, why: &str) -> Said {
-    Said { id, verdict: verdict.into(), why: why.to_string(), ..Said::default() }
+pub fn only(id: u64, verdict: Verdict, why: &str) -> Response {
+    Response { id, verdict: verdict.into(), reason: why.to_string(), ..Response::default() }
 }
 
-/// A connection that this usher opened.
+/// A connection that this proxy opened.
 pub struct Link {
-    pub rope: Rope,
+    pub rope: FrameSender,
     asking: RefCell<Asking<oneshot::Sender<Told>, Pipe>>,
 }
 
@@ -61,11 +61,11 @@
 
 impl Link {
     pub fn open(now: Micros) -> Rc<Link> {
-        Rc::new(Link { rope: Rope::default(), asking: RefCell::new(Asking::open(now)) })
+        Rc::new(Link { rope: FrameSender::default(), asking: RefCell::new(Asking::open(now)) })
     }
 
     pub fn takes(&self) -> bool {
-        self.rope.open() && self.asking.borrow().takes()
+        self.rope.is_open() && self.asking.borrow().takes()
     }
 
     /// Something happened to it; what that asks for is done. True where the connection was ended for it.
@@ -77,18 +77,18 @@
         let step = self.asking.borrow_mut().turn(now, event);
         match step {
             Step::Cancel => {
-                self.rope.send(What::Cancel(Cancel { id }));
+                self.rope.send(Payload::Cancel(Cancel { id }));
             }
             Step::NotRun(why, waits) => {
                 // Whoever waited may have given up.
                 let _ = waits.send(only(id, Verdict::NotRun, why).into());
             }
             Step::Ping(number) => {
-                self.rope.send(What::Ping(notchspool_mesh_protocol::Ping { number }));
+                self.rope.send(Payload::Ping(notchspool_mesh_protocol::Ping { number }));
             }
             Step::Finish => self.rope.finish(),
             Step::Cut(why) => {
-                self.rope.cut();
+                self.rope.abort();
                 return Some(why);
             }
             Step::Ended(verdict, waiters, streams) => {
@@ -103,7 +103,7 @@
     }
 
     /// Sends a request on it. What is to be waited for, and what gives it up where it is dropped.
-    pub fn ask(self: &Rc<Link>, now: Micros, id: u64, what: What) -> (oneshot::Receiver<Told>, Out) {
+    pub fn ask(self: &Rc<Link>, now: Micros, id: u64, what: Payload) -> (oneshot::Receiver<Told>, Out) {
         let (done, wait) = oneshot::channel();
         let step = self.asking.borrow_mut().turn(now, Event::Ask(id, done));
         if let Step::NotRun(why, waits) = step {
@@ -115,7 +115,7 @@
     }
 
     /// An answer, of which more may follow.
-    pub fn said(self: &Rc<Link>, now: Micros, said: Said) -> Option<&'static str> {
+    pub fn said(self: &Rc<Link>, now: Micros, said: Response) -> Option<&'static str> {
         let id = said.id;
         let mut told = Told::from(said);
         told.pipe = told.said.more.then(Pipe::default);
@@ -125,7 +125,7 @@
                 if told.pipe.is_some() {
                     let out = Out { link: self.clone(), id, waits: Cell::new(true) };
                     told.taken = Box::new(move |n| {
-                        out.link.rope.send(What::Taken(Taken { id, bytes: n as u64 }));
+                        out.link.rope.send(Payload::BodyConsumed(BodyConsumed { id, bytes: n as u64 }));
                     });
                 }
                 // Whoever waited may have given up; then the rest is given up by this.
@@ -133,25 +133,25 @@
                 None
             }
             Step::Cut(why) => {
-                self.rope.cut();
+                self.rope.abort();
                 Some(why)
             }
             _ => None,
         }
     }
 
-    pub fn part(&self, now: Micros, part: Part) -> Option<&'static str> {
+    pub fn part(&self, now: Micros, part: BodyChunk) -> Option<&'static str> {
         let step = self.asking.borrow_mut().turn(now, Event::Part { id: part.id, last: part.last });
         match step {
             Step::Pass(pipe) => {
                 pipe.put(part.bytes);
                 if part.last {
-                    pipe.end(if part.broken { End::Broken } else { End::Whole });
+                    pipe.end(if part.truncated { End::Broken } else { End::Whole });
                 }
                 None
             }
             Step::Cut(why) => {
-                self.rope.cut();
+                self.rope.abort();
                 Some(why)
             }
             _ => None,
@@ -159,7 +159,7 @@
     }
 }
 
-/// Connections to other ushers, by their addresses, and how many others opened here.
+/// Connections to other proxies, by their addresses, and how many others opened here.
 #[derive(Default)]
 pub struct Links {
     pub all: RefCell<BTreeMap<String, Rc<Link>>>,
--- a/crates/data-plane/src/links.rs
+++ b/crates/data-plane/src/links.rs
@@ -1,4 +1,4 @@
-//! Connections to other ushers: one each way a pair, many requests at once. What was sent and not answered when a connection ends may have
+//! Connections to other proxies: one each way a pair, many requests at once. What was sent and not answered when a connection ends may have
 //! run; what never left has not.
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use notchspool::units::Micros;
-use notchspool_mesh_protocol::{Ask, Fetch, Hello, Part, Said, Verdict, What};
-use notchspool_runtime::rope::{self, Rope};
+use notchspool_mesh_protocol::{BodyChunk, FetchResponse, Hello, Payload, Request, Response, Verdict};
+use notchspool_runtime::frame_connection::{self, FrameSender};
 use tokio::task::AbortHandle;
 
 use crate::exchange::{Answering, Asked, Does, Event, LONGEST};
@@ -48,9 +48,9 @@
         }
         let to: SocketAddr = address.parse().ok()?;
         let link = Link::open(self.now());
-        link.rope.send(What::Hello(Hello {
+        link.rope.send(Payload::Hello(Hello {
             node: self.told.borrow().node.clone(),
-            life: self.life,
+            boot_id: self.life,
             address: self.own.clone(),
             role: 1,
             ..Hello::default()
@@ -58,15 +58,17 @@
         self.links.all.borrow_mut().insert(address.to_string(), link.clone());
         let (house, held, address) = (self.clone(), link.clone(), address.to_string());
         tokio::task::spawn_local(async move {
-            let end = match rope::dial(to, DIAL).await {
+            let end = match frame_connection::connect(to, DIAL).await {
                 Ok(stream) => {
                     held.turn(house.now(), Event::Up);
                     let (link, at) = (held.clone(), house.clone());
-                    let end = rope::run(stream, held.rope.clone(), None, move |what| at.heard(&link, what));
+                    let end = frame_connection::run(stream, held.rope.clone(), None, move |what| {
+                        at.heard(&link, what)
+                    });
                     end.await.to_string()
                 }
                 Err(e) => {
-                    held.rope.cut();
+                    held.rope.abort();
                     e.to_string()
                 }
             };
@@ -80,12 +82,12 @@
         Some(link)
     }
 
-    fn heard(&self, link: &Rc<Link>, what: What) {
+    fn heard(&self, link: &Rc<Link>, what: Payload) {
         let now = self.now();
         let ended = match what {
-            What::Said(said) => link.said(now, said),
-            What::Part(part) => link.part(now, part),
-            What::Pong(pong) => link.turn(now, Event::Pong(pong.number)),
+            Payload::Response(said) => link.said(now, said),
+            Payload::BodyChunk(part) => link.part(now, part),
+            Payload::Pong(pong) => link.turn(now, Event::Pong(pong.number)),
             _ => None,
         };
         if let Some(why) = ended {
@@ -94,7 +96,7 @@
         }
     }
 
-    async fn out(self: &Rc<House>, address: &str, id: u64, what: What) -> Told {
+    async fn out(self: &Rc<House>, address: &str, id: u64, what: Payload) -> Told {
         let Some(link) = self.link(address) else { return only(id, Verdict::NotRun, "no link").into() };
         let (wait, out) = link.ask(self.now(), id, what);
         let told = wait.await.unwrap_or_else(|_| only(id, Verdict::MayHaveRun, "the link ended").into());
@@ -103,21 +105,27 @@
         told
     }
 
-    /// Sends a request to the usher beside a backend. Dropped, it is taken back there where that can still be done.
-    pub async fn ask(self: &Rc<House>, usher: &str, ask: Ask) -> Told {
-        if usher == self.own {
+    /// Sends a request to the proxy beside a backend. Dropped, it is taken back there where that can still be done.
+    pub async fn ask(self: &Rc<House>, proxy: &str, ask: Request) -> Told {
+        if proxy == self.own {
             return self.clone().perform(ask).await;
         }
-        self.out(usher, ask.id, What::Ask(ask)).await
+        self.out(proxy, ask.id, Payload::Request(ask)).await
     }
 
-    /// The answer to a key that another usher holds.
-    pub async fn fetch(self: &Rc<House>, holder: &str, key: &str, holder_life: u64) -> Said {
+    /// The answer to a key that another proxy holds.
+    pub async fn fetch(self: &Rc<House>, holder: &str, key: &str, holder_life: u64) -> Response {
         let id = self.number();
         if holder == self.own {
             return self.held(id, key, holder_life);
         }
-        self.out(holder, id, What::Fetch(Fetch { id, key: key.to_string(), holder_life })).await.said
+        self.out(
+            holder,
+            id,
+            Payload::FetchResponse(FetchResponse { id, key: key.to_string(), holder_boot_id: holder_life }),
+        )
+        .await
+        .said
     }
 
     /// Looks after links on which something is out.
@@ -127,26 +135,26 @@
         let lost = (LOST + thin).min(LONGEST);
         let all: Vec<Rc<Link>> = self.links.all.borrow().values().cloned().collect();
         for link in all {
-            let look = Event::Look { reads: link.rope.reads(), lost };
+            let look = Event::Look { reads: link.rope.read_count(), lost };
             if link.turn(now, look).is_some() {
                 self.count("links_silent");
             }
         }
     }
 
-    /// Carries a connection that another usher opened: requests for the backend here.
+    /// Carries a connection that another proxy opened: requests for the backend here.
     pub async fn carry(self: Rc<House>, stream: tokio::net::TcpStream) {
         if self.links.accepted.get() >= MOST_LINKS {
             return;
         }
         self.links.accepted.set(self.links.accepted.get() + 1);
-        rope::tune(&stream);
-        let rope = Rope::default();
+        frame_connection::configure_socket(&stream);
+        let rope = FrameSender::default();
         let running: Rc<RefCell<Answering<AbortHandle>>> = Rc::default();
         let (house, answers, mine) = (self.clone(), rope.clone(), running.clone());
         let credits: Rc<RefCell<HashMap<u64, Rc<Credit>>>> = Rc::default();
-        let end = rope::run(stream, rope, None, move |what| match what {
-            What::Ask(ask) => {
+        let end = frame_connection::run(stream, rope, None, move |what| match what {
+            Payload::Request(ask) => {
                 let id = ask.id;
                 let ask = standstill::older(ask, house.runs());
                 let (house, rope, mine_too) = (house.clone(), answers.clone(), mine.clone());
@@ -155,18 +163,22 @@
                 match does {
                     Does::Begin => {}
                     Does::Full => {
-                        rope.send(What::Said(only(id, Verdict::NotRun, "too many requests on the link")));
+                        rope.send(Payload::Response(only(
+                            id,
+                            Verdict::NotRun,
+                            "too many requests on the link",
+                        )));
                         return;
                     }
                     _ => {
                         house.count("links_astray");
-                        return rope.cut();
+                        return rope.abort();
                     }
                 }
                 let task = tokio::task::spawn_local(async move {
                     let told = house.clone().perform(ask).await;
                     let length = told.said.length as usize;
-                    rope.send(What::Said(Said { id, ..told.said }));
+                    rope.send(Payload::Response(Response { id, ..told.said }));
                     if let Some(pipe) = told.pipe {
                         let credit = Rc::new(Credit::default());
                         credits.borrow_mut().insert(id, credit.clone());
@@ -180,27 +192,27 @@
                 });
                 mine.borrow_mut().turn(Asked::Began(id, task.abort_handle()));
             }
-            What::Cancel(cancel) => {
+            Payload::Cancel(cancel) => {
                 credits.borrow_mut().remove(&cancel.id);
                 let does = mine.borrow_mut().turn(Asked::Cancel(cancel.id));
                 if let Does::Abort(task) = does {
                     task.abort();
                 }
             }
-            What::Taken(taken) => {
+            Payload::BodyConsumed(taken) => {
                 if let Some(credit) = credits.borrow().get(&taken.id) {
                     credit.way.set(credit.way.get().saturating_sub(taken.bytes as usize));
                     credit.wake.notify_one();
                 }
             }
-            What::Fetch(fetch) => {
-                let said = house.held(fetch.id, &fetch.key, fetch.holder_life);
-                answers.send(What::Said(said));
+            Payload::FetchResponse(fetch) => {
+                let said = house.held(fetch.id, &fetch.key, fetch.holder_boot_id);
+                answers.send(Payload::Response(said));
             }
-            What::Ping(ping) => {
-                answers.send(What::Pong(ping));
+            Payload::Ping(ping) => {
+                answers.send(Payload::Pong(ping));
             }
-            What::Hello(_) => {}
+            Payload::Hello(_) => {}
             _ => house.count("messages_unknown"),
         });
         let end = end.await;
@@ -214,24 +226,24 @@
 }
 
 /// Sends an answer piece by piece, as fast as the other side passes it on.
-async fn pump(rope: &Rope, id: u64, pipe: &Pipe, credit: &Credit, window: usize, to_send: &ToSend) {
+async fn pump(rope: &FrameSender, id: u64, pipe: &Pipe, credit: &Credit, window: usize, to_send: &ToSend) {
     let gone = Leaving(pipe);
     loop {
         while credit.way.get() >= window {
             credit.wake.notified().await;
         }
         // Small answers go between the pieces.
-        if !rope.below(PIECE).await {
+        if !rope.wait_until_below(PIECE).await {
             break;
         }
         let part = match pipe.next().await {
-            Ok(bytes) => Part { id, bytes, ..Part::default() },
-            Err(end) => Part { id, last: true, broken: end == End::Broken, ..Part::default() },
+            Ok(bytes) => BodyChunk { id, bytes, ..BodyChunk::default() },
+            Err(end) => BodyChunk { id, last: true, truncated: end == End::Broken, ..BodyChunk::default() },
         };
         credit.way.set(credit.way.get() + part.bytes.len());
         to_send.sent(part.bytes.len());
         let last = part.last;
-        if !rope.send(What::Part(part)) || last {
+        if !rope.send(Payload::BodyChunk(part)) || last {
             break;
         }
     }
--- a/crates/data-plane/src/lobby.rs
+++ b/crates/data-plane/src/lobby.rs
@@ -9,9 +9,9 @@
 use hyper::header::{HeaderName, HeaderValue};
 use hyper::{Request, Response, StatusCode};
 use notchspool::units::{BackendId, Fate, Micros, TxnRef};
-use notchspool_idempotency::round::Verdict as Claimed;
+use notchspool_idempotency::claim_proposal::Outcome as Claimed;
 use notchspool_mesh_config::route_config::{Route, RouteKind};
-use notchspool_mesh_protocol::{Ask, Pair, Said, Ticket, Verdict};
+use notchspool_mesh_protocol::{Header, Request as PeerRequest, Response as PeerResponse, Ticket, Verdict};
 
 use crate::attempts::{Attempts, Event, Next, Terms};
 use crate::company::Order;
@@ -34,7 +34,7 @@
     method: String,
     target: String,
     host: String,
-    headers: Vec<Pair>,
+    headers: Vec<Header>,
     body: Bytes,
     attempt: String,
     key: String,
@@ -155,7 +155,7 @@
             let listed = !named.is_empty() && named.split(',').any(|n| n.trim() == name.as_str());
             if !own && !listed && !of_one_connection(name.as_str()) {
                 headers
-                    .push(Pair { name: name.to_string(), value: Bytes::copy_from_slice(value.as_bytes()) });
+                    .push(Header { name: name.to_string(), value: Bytes::copy_from_slice(value.as_bytes()) });
             }
         }
         let Some(attempt) = single(&head.headers, ATTEMPT).filter(|id| !id.is_empty()) else {
@@ -199,7 +199,7 @@
         mut orders: Vec<Order>,
     ) -> Answer {
         let keyed = route.kind == RouteKind::Keyed && !asked.key.is_empty();
-        let ticket = keyed.then_some(Ticket { life: self.life, number: txn.0, turn: 0 });
+        let ticket = keyed.then_some(Ticket { boot_id: self.life, number: txn.0, attempt: 0 });
         let (repeatable, most) = (route.kind.is_idempotent(), route.max_attempts);
         let mut attempts = Attempts::open(Terms { repeatable, most, until, ticket });
         let spend = || self.company(service, |c| c.purse.spend());
@@ -235,12 +235,12 @@
             let (now, took) = (self.now(), self.now() - began);
             let told = told.unwrap_or_else(|| only(0, Verdict::MayHaveRun, "no answer in time").into());
             let said = &told.said;
-            self.company(service, |c| c.reported(now, to, said.busy));
+            self.company(service, |c| c.reported(now, to, said.utilisation));
             let mut verdict = said.verdict();
             let mut next = attempts.turn(now, Event::Came(said), &spend);
             if next == Next::Fence {
-                let fence = Ticket { life: self.life, number: self.number(), turn: number };
-                let granted = self.claim(&asked.key, fence).await == Claimed::Ours;
+                let fence = Ticket { boot_id: self.life, number: self.number(), attempt: number };
+                let granted = self.claim(&asked.key, fence).await == Claimed::Granted;
                 if granted {
                     self.count("fenced");
                     verdict = Verdict::NotRun;
@@ -252,8 +252,8 @@
             let fate = match verdict {
                 Verdict::Answered if said.status >= 500 => Fate::Errored,
                 Verdict::Answered => Fate::Settled,
-                Verdict::Elsewhere => Fate::TurnedAway,
-                Verdict::NotRun if said.busy == 0 => Fate::NoLink,
+                Verdict::WrongInstance => Fate::TurnedAway,
+                Verdict::NotRun if said.utilisation == 0 => Fate::NoLink,
                 Verdict::MayHaveRun if now >= until => Fate::TimedOut,
                 Verdict::MayHaveRun => Fate::Broken,
                 _ => Fate::NeverSent,
@@ -311,16 +311,16 @@
         plain(if over { 504 } else { 502 }, why)
     }
 
-    /// The answer to a key that another usher holds.
-    async fn from_holder(self: &Rc<House>, held: &Said, asked: &Asked, until: Micros) -> Answer {
-        let fetch = self.fetch(&held.holder, &asked.key, held.holder_life);
+    /// The answer to a key that another proxy holds.
+    async fn from_holder(self: &Rc<House>, held: &PeerResponse, asked: &Asked, until: Micros) -> Answer {
+        let fetch = self.fetch(&held.holder, &asked.key, held.holder_boot_id);
         let said = within(until - self.now(), fetch).await;
         let Some(said) = said else { return plain(504, "the holder of the key does not answer") };
         match said.verdict() {
             Verdict::Answered => relayed(said.into(), &asked.attempt),
-            Verdict::Working => plain(409, "the operation is at work"),
+            Verdict::InProgress => plain(409, "the operation is at work"),
             // It has not run there in that life, and is taken back: the next try claims it anew.
-            Verdict::NotRun if said.why == NOT_HERE => refused(&said.why, Micros::ms(50)),
+            Verdict::NotRun if said.reason == NOT_HERE => refused(&said.reason, Micros::ms(50)),
             _ => plain(502, "the operation may have run, and its answer is not known"),
         }
     }
@@ -335,13 +335,13 @@
         until: Micros,
         ticket: Option<Ticket>,
     ) -> Option<Told> {
-        let found = self.company(service, |c| c.station(to).map(|s| (s.instance.clone(), s.usher.clone())));
+        let found = self.company(service, |c| c.station(to).map(|s| (s.instance.clone(), s.proxy.clone())));
         // It has left the list since it was drawn: nothing was sent.
-        let Some((instance, usher)) = found else {
+        let Some((instance, proxy)) = found else {
             return Some(only(0, Verdict::NotRun, "the backend is not listed any more").into());
         };
         let left = until - self.now();
-        let ask = Ask {
+        let ask = PeerRequest {
             id: self.number(),
             service: service.to_string(),
             instance,
@@ -349,18 +349,18 @@
             target: asked.target.clone(),
             headers: asked.headers.clone(),
             body: asked.body.clone(),
-            left_ms: (left.0 / 1000).clamp(1, 600_000) as u32,
-            target_ms: (route.latency_target.0 / 1000).clamp(1, 600_000) as u32,
-            aim_ms: ((asked.aim - self.now()).0 / 1000).clamp(0, 600_000) as u32,
-            rank: route.priority,
-            repeatable: route.kind.is_idempotent(),
+            time_left_ms: (left.0 / 1000).clamp(1, 600_000) as u32,
+            latency_target_ms: (route.latency_target.0 / 1000).clamp(1, 600_000) as u32,
+            target_left_ms: ((asked.aim - self.now()).0 / 1000).clamp(0, 600_000) as u32,
+            priority: route.priority,
+            idempotent: route.kind.is_idempotent(),
             key: if ticket.is_some() { asked.key.clone() } else { String::new() },
             ticket,
-            attempt: asked.attempt.clone(),
+            attempt_id: asked.attempt.clone(),
             caller: self.told.borrow().service.clone(),
             host: asked.host.clone(),
             age_ms: ((self.now() - asked.began).0 / 1000).clamp(0, 600_000) as u32,
         };
-        within(left, self.ask(&usher, ask)).await
+        within(left, self.ask(&proxy, ask)).await
     }
 }
--- a/crates/data-plane/src/perform.rs
+++ b/crates/data-plane/src/perform.rs
@@ -1,9 +1,9 @@
-//! A request at the usher beside its backend: the life that was meant, the door, the key, the backend. What is turned away here has not
+//! A request at the proxy beside its backend: the life that was meant, the door, the key, the backend. What is turned away here has not
 //! run and never will.
 use std::rc::Rc;
 
 use notchspool::units::Micros;
-use notchspool_mesh_protocol::{Ask, Said, State, Ticket, Verdict};
+use notchspool_mesh_protocol::{EndpointState, Request, Response, Ticket, Verdict};
 use tokio::sync::oneshot;
 
 use crate::door::{Admit, Comer};
@@ -90,44 +90,46 @@
     }
 
     /// Why this request may not begin here now.
-    fn astray(&self, ask: &Ask) -> Option<(Verdict, &'static str)> {
+    fn astray(&self, ask: &Request) -> Option<(Verdict, &'static str)> {
         let beats = self.beats.borrow();
-        let Some(own) = &beats.own else { return Some((Verdict::NotRun, "no backend is known here yet")) };
-        if own.beat.instance != ask.instance || own.beat.service != ask.service {
-            return Some((Verdict::Elsewhere, "another backend is here"));
+        let Some(own) = &beats.backend else {
+            return Some((Verdict::NotRun, "no backend is known here yet"));
+        };
+        if own.heartbeat.instance != ask.instance || own.heartbeat.service != ask.service {
+            return Some((Verdict::WrongInstance, "another backend is here"));
         }
-        let ends = own.drains_since.map(|since| since + self.told.borrow().bounds.drain.times(DRAINED));
+        let ends = own.draining_since.map(|since| since + self.told.borrow().bounds.drain.times(DRAINED));
         match own.state {
-            State::Left => Some((Verdict::Elsewhere, "it has left")),
-            _ if ends.is_some_and(|ends| self.now() >= ends) => Some((Verdict::Elsewhere, "it drains")),
+            EndpointState::Left => Some((Verdict::WrongInstance, "it has left")),
+            _ if ends.is_some_and(|ends| self.now() >= ends) => Some((Verdict::WrongInstance, "it drains")),
             _ => None,
         }
     }
 
-    fn marked(&self, mut said: Said) -> Said {
+    fn marked(&self, mut said: Response) -> Response {
         let (mut door, now) = (self.door.borrow_mut(), self.now());
-        said.busy = 1 + (door.busy(now).clamp(0.0, 1.0) * 1_000.0) as u32;
+        said.utilisation = 1 + (door.busy(now).clamp(0.0, 1.0) * 1_000.0) as u32;
         said.in_flight = door.in_work() as u32;
-        said.queue = door.waiting() as u32;
+        said.queued = door.waiting() as u32;
         said
     }
 
-    fn turned_away(&self, id: u64, why: &str, retry: Micros) -> Said {
+    fn turned_away(&self, id: u64, why: &str, retry: Micros) -> Response {
         self.count("turned_away");
         let retry_ms = (retry.0 / 1000).clamp(0, 60_000) as u32;
-        self.marked(Said { retry_ms, ..only(id, Verdict::NotRun, why) })
+        self.marked(Response { retry_after_ms: retry_ms, ..only(id, Verdict::NotRun, why) })
     }
 
     /// What is known here of a key that this life of the process holds.
-    pub fn held(&self, id: u64, key: &str, holder_life: u64) -> Said {
-        if holder_life != self.life {
-            return only(id, Verdict::Lost, "the process that held it has ended");
+    pub fn held(&self, id: u64, key: &str, holder_boot_id: u64) -> Response {
+        if holder_boot_id != self.life {
+            return only(id, Verdict::ResponseLost, "the process that held it has ended");
         }
-        Said { id, ..operation::known(&self.coats.borrow(), key) }
+        Response { id, ..operation::known(&self.coats.borrow(), key) }
     }
 
     /// Claims the key of an operation. Its claim, where it may go on; else what is answered.
-    async fn claims(self: &Rc<House>, ask: &Ask, ticket: Ticket) -> Result<Claim, Said> {
+    async fn claims(self: &Rc<House>, ask: &Request, ticket: Ticket) -> Result<Claim, Response> {
         let (id, since) = (ask.id, self.now());
         let age = Micros::ms(i64::from(ask.age_ms));
         let mut step = operation::arrives(&mut self.coats.borrow_mut(), since, &ask.key, age);
@@ -138,15 +140,17 @@
         }
         match step {
             Step::Enter => Ok(own),
-            Step::Known(said) => Err(Said { id, ..said }),
-            Step::Held { holder, holder_life } => {
-                Err(Said { holder, holder_life, ..only(id, Verdict::Held, "another has the key") })
-            }
+            Step::Known(said) => Err(Response { id, ..said }),
+            Step::Held { holder, holder_boot_id } => Err(Response {
+                holder,
+                holder_boot_id: holder_boot_id,
+                ..only(id, Verdict::HeldElsewhere, "another has the key")
+            }),
             Step::No { why, retry, ends, take_back } => {
                 if ends {
                     self.count(if take_back { "claims_without_majority" } else { "claims_too_old" });
                 }
-                Err(Said { ends, ..self.turned_away(id, why, retry) })
+                Err(Response { final_refusal: ends, ..self.turned_away(id, why, retry) })
             }
             Step::Claim => Err(only(id, Verdict::NotRun, "it is not claimed")),
         }
@@ -154,9 +158,9 @@
     }
 
     /// Runs a request at the backend here, or says why not.
-    pub async fn perform(self: Rc<House>, ask: Ask) -> Told {
+    pub async fn perform(self: Rc<House>, ask: Request) -> Told {
         let id = ask.id;
-        let until = self.now() + Micros::ms(i64::from(ask.left_ms));
+        let until = self.now() + Micros::ms(i64::from(ask.time_left_ms));
         if let Some((verdict, why)) = self.astray(&ask) {
             self.count("astray");
             return self.marked(only(id, verdict, why)).into();
@@ -165,8 +169,8 @@
             return self.turned_away(id, "its time is over", Micros(0)).into();
         }
         // Large answers stand before all else on a thin link: one more is begun only while they are soon worked off.
-        let backlog = self.backlog(ask.target_ms);
-        if backlog > Micros::ms(i64::from(ask.target_ms)).times(BACKLOG) {
+        let backlog = self.backlog(ask.latency_target_ms);
+        if backlog > Micros::ms(i64::from(ask.latency_target_ms)).times(BACKLOG) {
             self.count("link_full");
             return self.turned_away(id, "the link is full", backlog).into();
         }
@@ -177,11 +181,12 @@
                 Err(said) => return said.into(),
             }
         }
-        let aim = self.now() + Micros::ms(i64::from(ask.aim_ms));
-        let place = match self.enter(Comer { rank: ask.rank, kind: ask.target_ms, aim, until }).await {
-            Ok(place) => place,
-            Err(retry) => return self.turned_away(id, "full", retry).into(),
-        };
+        let aim = self.now() + Micros::ms(i64::from(ask.target_left_ms));
+        let place =
+            match self.enter(Comer { rank: ask.priority, kind: ask.latency_target_ms, aim, until }).await {
+                Ok(place) => place,
+                Err(retry) => return self.turned_away(id, "full", retry).into(),
+            };
         // It may have changed while this one waited.
         if let Some((verdict, why)) = self.astray(&ask) {
             return self.marked(only(id, verdict, why)).into();
@@ -210,7 +215,7 @@
         self.at_backend(place, &ask, until).await
     }
 
-    fn keep(&self, ask: &Ask, said: &Said) {
+    fn keep(&self, ask: &Request, said: &Response) {
         let back = operation::ended(&mut self.coats.borrow_mut(), self.now(), &ask.key, said);
         if let Some(ticket) = ask.ticket.filter(|_| back) {
             self.withdraw(&ask.key, ticket);
@@ -243,16 +248,16 @@
         }
     }
 
-    async fn at_backend(self: Rc<House>, mut place: Place, ask: &Ask, until: Micros) -> Told {
+    async fn at_backend(self: Rc<House>, mut place: Place, ask: &Request, until: Micros) -> Told {
         let began = self.now();
         let Played { mut said, rest } = self.play(ask, until).await;
         let took = self.now() - began;
         match said.verdict() {
-            Verdict::Answered => (place.took, said.took_us) = (Some(took), took.0.max(0) as u64),
+            Verdict::Answered => (place.took, said.backend_us) = (Some(took), took.0.max(0) as u64),
             Verdict::MayHaveRun => self.count("broke_off"),
             _ => {}
         }
         drop(place);
-        Told { pipe: rest, ..self.marked(Said { id: ask.id, ..said }).into() }
+        Told { pipe: rest, ..self.marked(Response { id: ask.id, ..said }).into() }
     }
 }
--- a/crates/data-plane/src/pool.rs
+++ b/crates/data-plane/src/pool.rs
@@ -2,7 +2,7 @@
 use std::cell::RefCell;
 
 use notchspool::units::Micros;
-use notchspool_runtime::rope::quiet;
+use notchspool_runtime::frame_connection::is_quiet;
 use tokio::net::TcpStream;
 
 use crate::connection::{Connection, Event, Step};
@@ -24,7 +24,7 @@
     /// A connection that stood unused and is sound, with this request as its open question.
     pub fn take(&self, now: Micros, attempt: &str) -> Option<(TcpStream, Connection)> {
         while let Some(mut kept) = self.idle.borrow_mut().pop() {
-            let quiet = quiet(&kept.stream);
+            let quiet = is_quiet(&kept.stream);
             if kept.connection.turn(Event::Ask { now, attempt, quiet }) == Step::Go {
                 return Some((kept.stream, kept.connection));
             }
--- a/crates/data-plane/src/run.rs
+++ b/crates/data-plane/src/run.rs
@@ -1,8 +1,8 @@
-//! The process of an usher: its listeners, its ticks, its end.
+//! The process of a proxy: its listeners, its ticks, its end.
 use std::cell::RefCell;
 use std::convert::Infallible;
 use std::net::SocketAddr;
-use std::path::{Path, PathBuf};
+use std::path::Path;
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -10,23 +10,24 @@
 use hyper::{Request, Response};
 use hyper_util::rt::{TokioIo, TokioTimer};
 use notchspool::units::Micros;
-use notchspool_endpoint_registry::beats::Event;
-use notchspool_runtime::seed;
+use notchspool_endpoint_registry::heartbeats::Event;
+use notchspool_runtime::node_settings::NodeSettings;
+use notchspool_runtime::program::{CheckedSettings, ServiceResult};
+use notchspool_runtime::random_id;
 use notchspool_runtime::signals::{Event as Signalled, Signals};
-use notchspool_runtime::told::Told;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
 use crate::house::House;
 use crate::pipe::Answer;
 
-/// How often the usher looks after its links and companies.
+/// How often the proxy looks after its links and companies.
 const TICK: Duration = Duration::from_millis(100);
 /// Clients' connections at most.
 const MOST_CONNS: usize = 1_500;
-/// Clients are sent here for some time after an usher says that it is not ready.
+/// Clients are sent here for some time after a proxy says that it is not ready.
 const STILL_SENT: Micros = Micros::ms(2_200);
-/// Until all ushers have heard that this one goes.
+/// Until all proxies have heard that this one goes.
 const TELLING: Micros = Micros::ms(200);
 /// Kept clear of the end of the grace.
 const MARGIN: Micros = Micros::ms(700);
@@ -109,33 +110,40 @@
 
 /// Reads the settings file again; one that makes no sense changes nothing.
 fn reread(house: &Rc<House>, file: &Path) {
-    match Told::read(file) {
+    match NodeSettings::read(file) {
         Ok(told) => {
             let changed = *house.told.borrow() != told;
             if changed {
-                log::info!(target: "usher", "settings have changed");
+                log::info!(target: "proxy", "settings have changed");
                 // Whoever serves control tells of the set, though all that voted when this one last heard may be gone.
-                told.seeds.iter().map(|s| told.inner_of(s)).for_each(|seed| house.call(seed));
+                told.seeds.iter().map(|s| told.peer_address_of(s)).for_each(|seed| house.call(seed));
                 *house.told.borrow_mut() = told;
             }
         }
-        Err(e) => log::warn!(target: "usher", "settings stay as they were: {e}"),
+        Err(e) => log::warn!(target: "proxy", "settings stay as they were: {e}"),
     }
 }
 
-/// Runs an usher till SIGTERM.
-pub async fn run(
-    told: Told,
-    file: PathBuf,
-    at: [SocketAddr; 3],
-    signals: Signals,
-) -> Result<(), Box<dyn std::error::Error>> {
+/// Where the operators' settings say that a proxy listens.
+#[derive(Clone, Copy, Debug)]
+pub struct Listeners {
+    /// Requests of clients and of the backend here.
+    pub outbound: SocketAddr,
+    /// Whether clients may be sent here.
+    pub readiness: SocketAddr,
+    /// Heartbeats of the backend here, and operators' calls.
+    pub control_plane: SocketAddr,
+}
+
+/// Runs a proxy until SIGTERM.
+pub async fn run(settings: CheckedSettings<Listeners>, signals: Signals) -> ServiceResult {
+    let CheckedSettings { node: told, file, listeners } = settings;
+    let Listeners { outbound, readiness, control_plane: control } = listeners;
     let mut signals = signals.watch(&file);
-    let [outbound, readiness, control] = at;
     let grace = told.bounds.grace;
-    let inner = TcpListener::bind(told.inner()).await?;
-    let seeds: Vec<String> = told.seeds.iter().map(|s| told.inner_of(s)).collect();
-    let house = House::open(told, seed());
+    let inner = TcpListener::bind(told.peer_address()).await?;
+    let seeds: Vec<String> = told.seeds.iter().map(|s| told.peer_address_of(s)).collect();
+    let house = House::open(told, random_id());
     let (end, ends) = watch::channel(false);
     let (end_desk, ends_desk) = watch::channel(false);
     let open = Rc::new(RefCell::new(0));
@@ -167,22 +175,22 @@
             let now = ticks.now();
             ticks.companies.borrow_mut().values_mut().for_each(|c| drop(c.wake(now)));
             if n.is_multiple_of(50) && log::log_enabled!(log::Level::Debug) {
-                log::debug!(target: "usher", "{}", ticks.figures().replace('\n', ", "));
+                log::debug!(target: "proxy", "{}", ticks.figures().replace('\n', ", "));
             }
             if n.is_multiple_of(5) {
-                ticks.backend(Event::Time);
+                ticks.backend(Event::Tick);
                 ticks.pool.tidy(now);
-                ticks.coats.borrow_mut().wake(now);
+                ticks.coats.borrow_mut().tick(now);
             }
         }
     });
-    log::info!(target: "usher", "{} listens at {outbound}", house.told.borrow().node);
-    while signals.next().await == Signalled::Reread {
+    log::info!(target: "proxy", "{} listens at {outbound}", house.told.borrow().node);
+    while signals.next().await == Signalled::Reload {
         reread(&house, &file);
     }
     let began = house.now();
     house.stopping.set(Some(began));
-    log::info!(target: "usher", "ends on SIGTERM, {} requests in hand", house.in_hand.get());
+    log::info!(target: "proxy", "ends on SIGTERM, {} requests in hand", house.in_hand.get());
     // Clients come for some time yet. Then no more connections are taken, and those that stand idle are closed.
     let last = began + grace - MARGIN;
     while house.now() < (began + STILL_SENT).min(last) {
@@ -204,6 +212,6 @@
     // What was written last has to leave.
     tokio::time::sleep(Duration::from_millis(60)).await;
     let _ = end_desk.send(true);
-    log::info!(target: "usher", "ended");
+    log::info!(target: "proxy", "ended");
     Ok(())
 }
--- a/crates/data-plane/src/standstill.rs
+++ b/crates/data-plane/src/standstill.rs
@@ -1,7 +1,7 @@
 //! Whether this process stood still: frozen, or without a processor. What is read right after may have waited for as long, with all that it
 //! says of time left; it is taken to be that old.
 use notchspool::units::Micros;
-use notchspool_mesh_protocol::Ask;
+use notchspool_mesh_protocol::Request;
 
 /// The process is seen to run at least ten times a second: a gap longer than this is one.
 const SPAN: Micros = Micros::ms(200);
@@ -32,13 +32,13 @@
     }
 }
 
-/// A request of another usher that may have waited here as long: it is that much older, and may have no time left.
-pub fn older(mut ask: Ask, by: Micros) -> Ask {
+/// A request of another proxy that may have waited here as long: it is that much older, and may have no time left.
+pub fn older(mut ask: Request, by: Micros) -> Request {
     let ms = (by.0 / 1_000).clamp(0, 600_000) as u32;
     ask.age_ms = ask.age_ms.saturating_add(ms);
     if by >= FROZEN {
-        ask.left_ms = ask.left_ms.saturating_sub(ms);
-        ask.aim_ms = ask.aim_ms.saturating_sub(ms);
+        ask.time_left_ms = ask.time_left_ms.saturating_sub(ms);
+        ask.target_left_ms = ask.target_left_ms.saturating_sub(ms);
     }
     ask
 }
--- a/crates/data-plane/src/voters.rs
+++ b/crates/data-plane/src/voters.rs
@@ -1,16 +1,16 @@
-//! The prompters as this usher knows them, and the claims that are open at them. `callboy` carries the connections.
+//! The replicas as this proxy knows them, and the claims that are open at them. `callboy` carries the connections.
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use notchspool_idempotency::round::{Round, Verdict};
-use notchspool_mesh_protocol::What;
-use notchspool_mesh_protocol::texts::Texts;
-use notchspool_runtime::rope::Rope;
+use notchspool_idempotency::claim_proposal::{ClaimProposal, Outcome as ClaimOutcome};
+use notchspool_mesh_protocol::Payload;
+use notchspool_mesh_protocol::text_transfer::TextStore;
+use notchspool_runtime::frame_connection::FrameSender;
 use tokio::sync::oneshot;
 
 #[derive(Clone)]
 pub struct Voter {
-    pub rope: Rope,
+    pub rope: FrameSender,
     pub zone: String,
     /// The highest version that it says holds, and whether it has compared.
     pub holds: Option<(u64, bool)>,
@@ -18,13 +18,13 @@
 
 /// A claim that is open.
 pub struct Hand {
-    pub round: Round,
+    pub round: ClaimProposal,
     /// To be asked anew: the set has changed, or is being changed.
     pub again: bool,
-    pub done: Option<oneshot::Sender<Verdict>>,
+    pub done: Option<oneshot::Sender<ClaimOutcome>>,
 }
 
-/// The prompters as this usher knows them.
+/// The replicas as this proxy knows them.
 pub struct Voters {
     /// Who votes, once one has told, and the number of that set; until then the seeds are asked.
     pub set: Cell<u64>,
@@ -37,7 +37,7 @@
     pub failures: Cell<u32>,
     /// The version that is waited for before somebody is asked.
     pub awaited: Cell<u64>,
-    pub texts: RefCell<Texts>,
+    pub texts: RefCell<TextStore>,
 }
 
 /// Configurations that are held, so that the next can be told as a difference.
@@ -55,13 +55,13 @@
             line: Cell::default(),
             failures: Cell::default(),
             awaited: Cell::default(),
-            texts: RefCell::new(Texts::open(TEXTS)),
+            texts: RefCell::new(TextStore::new(TEXTS)),
         }
     }
 }
 
 impl Voters {
-    pub fn send_all(&self, what: What) {
+    pub fn send_all(&self, what: Payload) {
         for voter in self.open.borrow().values() {
             voter.rope.send(what.clone());
         }
--- a/crates/data-plane/tests/attempts.rs
+++ b/crates/data-plane/tests/attempts.rs
@@ -4,20 +4,20 @@
 use notchspool::units::Micros;
 use notchspool_data_plane::attempts::{Attempts, Event, Next, Terms};
 use notchspool_data_plane::standstill::{Standstill, older};
-use notchspool_mesh_protocol::{Ask, Said, Ticket, Verdict};
+use notchspool_mesh_protocol::{Request, Response, Ticket, Verdict};
 
-const TICKET: Ticket = Ticket { life: 7, number: 1, turn: 0 };
+const TICKET: Ticket = Ticket { boot_id: 7, number: 1, attempt: 0 };
 
 fn terms(repeatable: bool, ticket: Option<Ticket>) -> Terms {
     Terms { repeatable, most: 2, until: Micros::ms(1_000), ticket }
 }
-fn said(verdict: Verdict, arrived: bool) -> Said {
-    Said { verdict: verdict.into(), arrived, status: 200, ..Said::default() }
+fn said(verdict: Verdict, arrived: bool) -> Response {
+    Response { verdict: verdict.into(), reached_backend: arrived, status: 200, ..Response::default() }
 }
 fn posted(attempts: &mut Attempts) {
     assert!(matches!(attempts.turn(Micros(1), Event::Post, &|| false), Next::Send(..)));
 }
-fn came(attempts: &mut Attempts, said: &Said) -> Next {
+fn came(attempts: &mut Attempts, said: &Response) -> Next {
     posted(attempts);
     attempts.turn(Micros(1), Event::Came(said), &|| true)
 }
@@ -49,7 +49,7 @@
 fn no_promise_after_what_may_have_run() {
     let mut safe = Attempts::open(terms(true, None));
     assert_eq!(came(&mut safe, &said(Verdict::MayHaveRun, true)), Next::Again);
-    let ends = Said { ends: true, ..said(Verdict::NotRun, false) };
+    let ends = Response { final_refusal: true, ..said(Verdict::NotRun, false) };
     assert_eq!(came(&mut safe, &ends), Next::Unanswered { over: false });
 }
 
@@ -72,7 +72,7 @@
         true
     };
     let mut safe = Attempts::open(Terms { most: 3, ..terms(true, None) });
-    let mut came = |said: &Said| {
+    let mut came = |said: &Response| {
         posted(&mut safe);
         let next = safe.turn(Micros(1), Event::Came(said), &spend);
         (next, spent.get())
@@ -96,10 +96,13 @@
     assert_eq!(came(&mut keyed, &lost), Next::Fence);
     assert_eq!(keyed.turn(Micros(1), Event::Fenced(fence, true), &|| true), Next::Again);
     let next = keyed.turn(Micros(1), Event::Post, &|| true);
-    assert_eq!(next, Next::Send(1, Some(Ticket { turn: 1, ..fence })));
+    assert_eq!(next, Next::Send(1, Some(Ticket { attempt: 1, ..fence })));
     // It has not run, but that is not promised: the fence has to stand.
-    let next =
-        keyed.turn(Micros(1), Event::Came(&Said { ends: true, ..said(Verdict::NotRun, false) }), &|| true);
+    let next = keyed.turn(
+        Micros(1),
+        Event::Came(&Response { final_refusal: true, ..said(Verdict::NotRun, false) }),
+        &|| true,
+    );
     assert_eq!(next, Next::Unanswered { over: false });
     let mut keyed = Attempts::open(terms(false, Some(TICKET)));
     assert_eq!(came(&mut keyed, &lost), Next::Fence);
@@ -125,13 +128,14 @@
             if ran && !repeatable {
                 return false;
             }
-            let verdict = [Verdict::MayHaveRun, Verdict::Answered, Verdict::NotRun, Verdict::Elsewhere]
+            let verdict = [Verdict::MayHaveRun, Verdict::Answered, Verdict::NotRun, Verdict::WrongInstance]
                 [usize::from(verdict % 4)];
             let arrived = arrived || verdict == Verdict::Answered;
             reached += u32::from(arrived || verdict == Verdict::MayHaveRun);
             ran |= verdict == Verdict::MayHaveRun || (verdict == Verdict::Answered);
             let status = if n % 2 == 0 { 500 } else { 200 };
-            let said = Said { verdict: verdict.into(), arrived, status, ..Said::default() };
+            let said =
+                Response { verdict: verdict.into(), reached_backend: arrived, status, ..Response::default() };
             match attempts.turn(Micros(1), Event::Came(&said), &|| n % 3 > 0) {
                 Next::Again => {}
                 Next::Refuse => return !ran,
@@ -159,8 +163,8 @@
     assert_eq!(still.runs(Micros::ms(5_910)), Micros::ms(5_000));
     assert_eq!(still.runs(Micros::ms(6_000)), Micros(0));
     // A short gap makes a request older, a long one takes its time, too.
-    let ask = Ask { left_ms: 2_000, aim_ms: 800, age_ms: 10, ..Ask::default() };
-    let times = |ask: Ask| (ask.left_ms, ask.aim_ms, ask.age_ms);
+    let ask = Request { time_left_ms: 2_000, target_left_ms: 800, age_ms: 10, ..Request::default() };
+    let times = |ask: Request| (ask.time_left_ms, ask.target_left_ms, ask.age_ms);
     assert_eq!(times(older(ask.clone(), Micros::ms(300))), (2_000, 800, 310));
     assert_eq!(times(older(ask, Micros::ms(5_000))), (0, 0, 5_010));
 }
--- a/crates/data-plane/tests/boards.rs
+++ b/crates/data-plane/tests/boards.rs
@@ -1,4 +1,4 @@
-//! Which prompter's board an usher follows.
+//! Which replica's board a proxy follows.
 use notchspool_data_plane::callboy::board;
 
 const OPEN: [(&str, &str); 4] = [("p-1", "west"), ("p-2", "east"), ("p-3", "east"), ("p-4", "north")];
--- a/crates/data-plane/tests/draw.rs
+++ b/crates/data-plane/tests/draw.rs
@@ -5,21 +5,21 @@
 use notchspool::units::{Fate, Micros, TxnRef};
 use notchspool_data_plane::company::{Company, Order};
 use notchspool_data_plane::purse::Purse;
-use notchspool_endpoint_registry::playbill::{Changes, Playbill};
+use notchspool_endpoint_registry::endpoint_list::{Changes, EndpointList};
 use notchspool_mesh_config::route_config::{Route, RouteKind, WeightedService};
-use notchspool_mesh_protocol::{Bill, State, Station};
+use notchspool_mesh_protocol::{Endpoint, EndpointState, EndpointUpdate};
 
-fn station(instance: &str, slots: u32, cold_ms: u32, state: State, calls: u64) -> Station {
-    Station {
+fn station(instance: &str, slots: u32, cold_ms: u32, state: EndpointState, calls: u64) -> Endpoint {
+    Endpoint {
         instance: instance.into(),
         service: "s".into(),
-        usher: format!("{instance}:1"),
+        proxy: format!("{instance}:1"),
         zone: "a".into(),
         slots,
         state: state.into(),
-        cold_ms,
-        calls,
-        ..Station::default()
+        warmup_ms: cold_ms,
+        call_count: calls,
+        ..Endpoint::default()
     }
 }
 
@@ -44,11 +44,11 @@
 }
 
 impl Caller {
-    fn with(stations: Vec<Station>) -> Caller {
+    fn with(stations: Vec<Endpoint>) -> Caller {
         let now = Micros::ms(10_000);
         let purse = Purse::open(0.2, 60.0, Micros::ms(10_000), 8, now);
         let mut company = Company::open("a", Micros::ms(2_000), 7, purse, now);
-        company.listed(now, 1, &Changes { stations, absent: Vec::new() });
+        company.listed(now, 1, &Changes { updated: stations, removed: Vec::new() });
         Caller { company, now, next: 0 }
     }
     /// Where so many requests go; each is settled at once, and `busy` says what each door reports, in thousandths.
@@ -70,8 +70,8 @@
     }
 }
 
-fn ready(instance: &str) -> Station {
-    station(instance, 6, 0, State::Ready, 1)
+fn ready(instance: &str) -> Endpoint {
+    station(instance, 6, 0, EndpointState::Ready, 1)
 }
 
 #[test]
@@ -88,8 +88,10 @@
 
 #[test]
 fn without_reports_weights_follow_the_slots() {
-    let mut caller =
-        Caller::with(vec![station("a", 2, 0, State::Ready, 1), station("b", 6, 0, State::Ready, 1)]);
+    let mut caller = Caller::with(vec![
+        station("a", 2, 0, EndpointState::Ready, 1),
+        station("b", 6, 0, EndpointState::Ready, 1),
+    ]);
     let found = caller.draws(4_000, &[]);
     assert!((found["b"] as f64 / 4_000.0 - 0.75).abs() < 0.04, "{found:?}");
 }
@@ -106,7 +108,7 @@
 
 #[test]
 fn a_newcomer_is_capped_at_the_mean_and_rises() {
-    let cold = station("c", 6, 3_500, State::Ready, 1);
+    let cold = station("c", 6, 3_500, EndpointState::Ready, 1);
     let mut caller = Caller::with(vec![ready("a"), ready("b"), cold]);
     let busy = [("a", 900), ("b", 900), ("c", 0)];
     caller.draws(300, &busy);
@@ -124,11 +126,12 @@
 #[test]
 fn who_drains_or_is_away_gets_nothing_while_another_stands() {
     let mut caller = Caller::with(vec![ready("a"), ready("b"), ready("c")]);
-    let gone = vec![station("b", 6, 0, State::Draining, 2), station("c", 6, 0, State::Away, 2)];
-    caller.company.listed(caller.now, 2, &Changes { stations: gone, absent: Vec::new() });
+    let gone =
+        vec![station("b", 6, 0, EndpointState::Draining, 2), station("c", 6, 0, EndpointState::Away, 2)];
+    caller.company.listed(caller.now, 2, &Changes { updated: gone, removed: Vec::new() });
     assert_eq!(caller.draws(200, &[]).keys().collect::<Vec<_>>(), ["a"]);
-    let back = vec![station("c", 6, 0, State::Ready, 3)];
-    caller.company.listed(caller.now, 3, &Changes { stations: back, absent: Vec::new() });
+    let back = vec![station("c", 6, 0, EndpointState::Ready, 3)];
+    caller.company.listed(caller.now, 3, &Changes { updated: back, removed: Vec::new() });
     assert_eq!(caller.draws(200, &[]).keys().collect::<Vec<_>>(), ["a", "c"]);
 }
 
@@ -136,9 +139,9 @@
 fn an_address_taken_over_by_another_instance_is_another_backend() {
     let mut caller = Caller::with(vec![ready("a"), ready("b")]);
     for n in 0..50 {
-        let left = station(&format!("x{}", n), 6, 0, State::Left, 9);
+        let left = station(&format!("x{}", n), 6, 0, EndpointState::Left, 9);
         let next = ready(&format!("x{}", n + 1));
-        caller.company.listed(caller.now, 2 + n, &Changes { stations: vec![left, next], absent: Vec::new() });
+        caller.company.listed(caller.now, 2 + n, &Changes { updated: vec![left, next], removed: Vec::new() });
         let found = caller.draws(60, &[]);
         assert_eq!(
             found.keys().cloned().collect::<Vec<_>>(),
@@ -149,18 +152,24 @@
 
 #[test]
 fn an_older_list_changes_nothing_and_an_older_word_on_one_neither() {
-    let mut list = Playbill::default();
-    let bill = |version, whole, stations| Bill { version, whole, stations, line: 1 };
-    let take = list.take(bill(5, true, vec![ready("a"), station("b", 6, 0, State::Draining, 7)])).unwrap();
-    assert_eq!(take.stations.len(), 2);
-    assert_eq!(list.take(bill(4, true, vec![])), None);
-    // Another prompter, a later number, but what it says of b is older.
-    let take = list.take(bill(6, false, vec![station("b", 6, 0, State::Ready, 3)])).unwrap();
-    assert_eq!((take.stations.len(), list.get("b").map(Station::state)), (0, Some(State::Draining)));
-    let take = list.take(bill(7, true, vec![ready("a")])).unwrap();
+    let mut list = EndpointList::default();
+    let bill = |version, whole, stations| EndpointUpdate {
+        version,
+        complete: whole,
+        endpoints: stations,
+        numbered_by: 1,
+    };
+    let take =
+        list.apply(bill(5, true, vec![ready("a"), station("b", 6, 0, EndpointState::Draining, 7)])).unwrap();
+    assert_eq!(take.updated.len(), 2);
+    assert_eq!(list.apply(bill(4, true, vec![])), None);
+    // Another replica, a later number, but what it says of b is older.
+    let take = list.apply(bill(6, false, vec![station("b", 6, 0, EndpointState::Ready, 3)])).unwrap();
+    assert_eq!((take.updated.len(), list.get("b").map(Endpoint::state)), (0, Some(EndpointState::Draining)));
+    let take = list.apply(bill(7, true, vec![ready("a")])).unwrap();
     assert_eq!(
-        take.absent.iter().map(|s| (s.instance.as_str(), s.state())).collect::<Vec<_>>(),
-        [("b", State::Missed)]
+        take.removed.iter().map(|s| (s.instance.as_str(), s.state())).collect::<Vec<_>>(),
+        [("b", EndpointState::Missing)]
     );
     assert_eq!(list.version(), 7);
 }
--- a/crates/data-plane/tests/exchange.rs
+++ b/crates/data-plane/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! What is open between two ushers: every answer goes to its own question or to nobody.
+//! What is open between two proxies: every answer goes to its own question or to nobody.
 use std::collections::BTreeSet;
 
 use notchspool::units::Micros;
--- a/crates/data-plane/tests/operation.rs
+++ b/crates/data-plane/tests/operation.rs
@@ -1,21 +1,25 @@
 //! A keyed operation beside its backend: it runs under a claim or not at all, and its claim is taken back only where it has not run.
 use notchspool::units::Micros;
 use notchspool_data_plane::operation::{self, Kept, Step};
-use notchspool_idempotency::coats::Coats;
-use notchspool_idempotency::round::Verdict as Claimed;
-use notchspool_mesh_protocol::{Said, Ticket, Verdict};
+use notchspool_idempotency::claim_proposal::Outcome as Claimed;
+use notchspool_idempotency::response_cache::ResponseCache;
+use notchspool_mesh_protocol::{Response, Ticket, Verdict};
 
-const TICKET: Ticket = Ticket { life: 7, number: 1, turn: 0 };
+const TICKET: Ticket = Ticket { boot_id: 7, number: 1, attempt: 0 };
 const WINDOW: Micros = Micros(60_000_000);
 
 fn coats() -> Kept {
-    Coats::open(WINDOW, 1 << 20)
+    ResponseCache::new(WINDOW, 1 << 20)
 }
 fn theirs(life: u64, number: u64) -> Claimed {
-    Claimed::Theirs { ticket: Ticket { life, number, turn: 1 }, holder: "h".into(), holder_life: 9 }
+    Claimed::HeldByOther {
+        ticket: Ticket { boot_id: life, number, attempt: 1 },
+        holder: "h".into(),
+        holder_boot_id: 9,
+    }
 }
-fn said(verdict: Verdict) -> Said {
-    Said { verdict: verdict.into(), arrived: true, status: 200, ..Said::default() }
+fn said(verdict: Verdict) -> Response {
+    Response { verdict: verdict.into(), reached_backend: true, status: 200, ..Response::default() }
 }
 
 #[test]
@@ -23,21 +27,21 @@
     let mut coats = coats();
     assert_eq!(operation::arrives(&mut coats, Micros(1), "k", Micros(0)), Step::Claim);
     assert!(
-        matches!(operation::arrives(&mut coats, Micros(1), "k", Micros(0)), Step::Known(s) if s.verdict() == Verdict::Working)
+        matches!(operation::arrives(&mut coats, Micros(1), "k", Micros(0)), Step::Known(s) if s.verdict() == Verdict::InProgress)
     );
-    assert_eq!(operation::claimed(TICKET, Claimed::Ours), Step::Enter);
+    assert_eq!(operation::claimed(TICKET, Claimed::Granted), Step::Enter);
     assert!(operation::begins(&mut coats, Micros(2), "k", Micros(1), WINDOW));
     assert!(!operation::begins(&mut coats, Micros(2), "k", Micros(1), WINDOW), "it begins twice");
     assert!(!operation::ended(&mut coats, Micros(3), "k", &said(Verdict::Answered)));
     let known = operation::known(&coats, "k");
-    assert_eq!((known.verdict(), known.arrived), (Verdict::Answered, false));
+    assert_eq!((known.verdict(), known.reached_backend), (Verdict::Answered, false));
 }
 
 #[test]
 fn a_claim_is_taken_back_only_where_it_has_not_run() {
     for (verdict, back) in [
         (Verdict::NotRun, true),
-        (Verdict::Elsewhere, true),
+        (Verdict::WrongInstance, true),
         (Verdict::Answered, false),
         (Verdict::MayHaveRun, false),
     ] {
@@ -50,10 +54,10 @@
 
 #[test]
 fn another_ticket_is_sent_to_its_holder_and_the_same_one_is_not_wanted() {
-    assert!(matches!(operation::claimed(TICKET, theirs(8, 1)), Step::Held { holder_life: 9, .. }));
+    assert!(matches!(operation::claimed(TICKET, theirs(8, 1)), Step::Held { holder_boot_id: 9, .. }));
     assert!(matches!(operation::claimed(TICKET, theirs(7, 1)), Step::No { take_back: true, .. }));
     assert!(matches!(
-        operation::claimed(TICKET, Claimed::Nobody),
+        operation::claimed(TICKET, Claimed::Undecided),
         Step::No { take_back: true, ends: true, .. }
     ));
 }
--- a/crates/data-plane/tests/wire.rs
+++ b/crates/data-plane/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The decisions on real sockets: stand-in backends and stand-in ushers on loopback. Nothing sleeps: who waits, waits for bytes, within a
+//! The decisions on real sockets: stand-in backends and stand-in proxies on loopback. Nothing sleeps: who waits, waits for bytes, within a
 //! generous bound.
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -10,10 +10,11 @@
 use notchspool::units::Micros;
 use notchspool_data_plane::house::House;
 use notchspool_mesh_protocol::{
-    Ask, Cancel, Claimed, Member, Part, Said, Set, Verdict, Welcome, What, read, write,
+    BodyChunk, Cancel, ClaimReply, Member, Payload, Request, Response, Verdict, VoterSet, Welcome, decode,
+    encode,
 };
-use notchspool_runtime::rope::quiet;
-use notchspool_runtime::told::Told;
+use notchspool_runtime::frame_connection::is_quiet;
+use notchspool_runtime::node_settings::NodeSettings;
 
 const BOUND: Duration = Duration::from_secs(20);
 
@@ -24,7 +25,7 @@
         "dataPath":null,"beatIntervalS":1.5,"bounds":["drainS=2","graceS=6","keyWindowS=60","retryRatio=0.2","retryWindowS=10",
         "retrySlack=60"],"limits":{{"memoryMb":64}},"appAddress":"{app}","service":"s"}}"#
     );
-    House::open(Told::of(Path::new("x"), text.as_bytes()).unwrap(), 7)
+    House::open(NodeSettings::parse(Path::new("x"), text.as_bytes()).unwrap(), 7)
 }
 
 fn plays<F: Future<Output = ()>>(run: F) {
@@ -33,19 +34,19 @@
         .block_on(&runtime, async { tokio::time::timeout(BOUND, run).await.unwrap() });
 }
 
-fn ask(attempt: &str, body: usize) -> Ask {
-    Ask {
+fn ask(attempt: &str, body: usize) -> Request {
+    Request {
         method: "POST".into(),
         target: "/".into(),
         host: "h".into(),
-        attempt: attempt.into(),
+        attempt_id: attempt.into(),
         body: Bytes::from(vec![0; body]),
         instance: "i".into(),
-        headers: vec![notchspool_mesh_protocol::Pair {
+        headers: vec![notchspool_mesh_protocol::Header {
             name: "notchspool-attempt-id".into(),
             value: Bytes::from(attempt.to_string()),
         }],
-        ..Ask::default()
+        ..Request::default()
     }
 }
 
@@ -86,7 +87,7 @@
 const SEAL: &str = "notchspool-server-seal: z\r\n";
 const NOT_RUN: &str = "notchspool-not-run: 1\r\n";
 
-async fn play(house: &Rc<House>, ask: Ask) -> Verdict {
+async fn play(house: &Rc<House>, ask: Request) -> Verdict {
     house.play(&ask, house.now() + Micros::ms(15_000)).await.said.verdict()
 }
 
@@ -96,11 +97,11 @@
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let stream = tokio::net::TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
         let (mut other, _) = listener.accept().unwrap();
-        assert!(quiet(&stream));
+        assert!(is_quiet(&stream));
         // The runtime is not asked meanwhile, as right after a standstill.
         other.write_all(b"x").unwrap();
         let began = Instant::now();
-        while quiet(&stream) {
+        while is_quiet(&stream) {
             assert!(began.elapsed() < BOUND);
             std::thread::yield_now();
         }
@@ -164,7 +165,7 @@
     });
 }
 
-/// A stand-in for another usher: what comes from the one that is tested, and what is said to it.
+/// A stand-in for another proxy: what comes from the one that is tested, and what is said to it.
 struct Other {
     stream: TcpStream,
     got: BytesMut,
@@ -176,9 +177,9 @@
         Other { stream, got: BytesMut::new() }
     }
     /// The next message; none where the connection ended.
-    fn next(&mut self) -> Option<What> {
+    fn next(&mut self) -> Option<Payload> {
         loop {
-            if let Some(what) = read(&mut self.got).unwrap() {
+            if let Some(what) = decode(&mut self.got).unwrap() {
                 return Some(what);
             }
             let mut part = [0u8; 4096];
@@ -188,21 +189,21 @@
             }
         }
     }
-    fn say(&mut self, what: What) {
+    fn say(&mut self, what: Payload) {
         let mut out = BytesMut::new();
-        write(what, &mut out);
+        encode(what, &mut out);
         self.stream.write_all(&out).unwrap();
     }
     fn asked(&mut self) -> u64 {
         loop {
-            if let What::Ask(ask) = self.next().unwrap() {
+            if let Payload::Request(ask) = self.next().unwrap() {
                 return ask.id;
             }
         }
     }
 }
 
-fn usher(then: impl FnOnce(Other) + Send + 'static) -> (String, std::thread::JoinHandle<()>) {
+fn proxy(then: impl FnOnce(Other) + Send + 'static) -> (String, std::thread::JoinHandle<()>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap().to_string();
     (at, std::thread::spawn(move || then(Other::of(listener.accept().unwrap().0))))
@@ -215,13 +216,13 @@
 #[test]
 fn an_answer_to_no_question_ends_the_link_and_is_given_to_nobody() {
     plays(async {
-        let (at, hand) = usher(|mut other| {
+        let (at, hand) = proxy(|mut other| {
             let id = other.asked();
-            other.say(What::Said(Said { id: id + 1, status: 200, ..Said::default() }));
+            other.say(Payload::Response(Response { id: id + 1, status: 200, ..Response::default() }));
             while other.next().is_some() {}
         });
         let house = house(nowhere());
-        let told = house.ask(&at, Ask { id: house.number(), ..ask("a", 0) }).await;
+        let told = house.ask(&at, Request { id: house.number(), ..ask("a", 0) }).await;
         assert_eq!((told.said.verdict(), told.said.status), (Verdict::MayHaveRun, 0));
         tokio::task::spawn_blocking(move || hand.join().unwrap()).await.unwrap();
     });
@@ -230,16 +231,26 @@
 #[test]
 fn the_rest_of_an_answer_is_given_up_as_soon_as_nobody_wants_it() {
     plays(async {
-        let (at, hand) = usher(|mut other| {
+        let (at, hand) = proxy(|mut other| {
             let id = other.asked();
             let verdict = Verdict::Answered.into();
-            other.say(What::Said(Said { id, verdict, more: true, length: 90_000, ..Said::default() }));
-            other.say(What::Part(Part { id, bytes: Bytes::from_static(b"some"), ..Part::default() }));
+            other.say(Payload::Response(Response {
+                id,
+                verdict,
+                more: true,
+                length: 90_000,
+                ..Response::default()
+            }));
+            other.say(Payload::BodyChunk(BodyChunk {
+                id,
+                bytes: Bytes::from_static(b"some"),
+                ..BodyChunk::default()
+            }));
             // No more is sent before some is taken, and nobody takes any.
-            while other.next().expect("it was not given up") != What::Cancel(Cancel { id }) {}
+            while other.next().expect("it was not given up") != Payload::Cancel(Cancel { id }) {}
         });
         let house = house(nowhere());
-        let told = house.ask(&at, Ask { id: house.number(), ..ask("a", 0) }).await;
+        let told = house.ask(&at, Request { id: house.number(), ..ask("a", 0) }).await;
         assert!(told.pipe.is_some());
         drop(told);
         tokio::task::spawn_blocking(move || hand.join().unwrap()).await.unwrap();
@@ -253,9 +264,9 @@
         let at = listener.local_addr().unwrap();
         let hand = std::thread::spawn(move || {
             let mut other = Other::of(TcpStream::connect(at).unwrap());
-            other.say(What::Ask(Ask { id: 5, left_ms: 1_000, ..ask("a", 0) }));
-            assert!(matches!(other.next(), Some(What::Said(Said { id: 5, .. }))));
-            other.say(What::Ask(Ask { id: 5, left_ms: 1_000, ..ask("a", 0) }));
+            other.say(Payload::Request(Request { id: 5, time_left_ms: 1_000, ..ask("a", 0) }));
+            assert!(matches!(other.next(), Some(Payload::Response(Response { id: 5, .. }))));
+            other.say(Payload::Request(Request { id: 5, time_left_ms: 1_000, ..ask("a", 0) }));
             assert!(other.next().is_none(), "the same id was answered again");
         });
         let house = house(nowhere());
@@ -266,7 +277,7 @@
 }
 
 #[test]
-fn a_vote_counts_for_the_prompter_that_it_came_from() {
+fn a_vote_counts_for_the_replica_that_it_came_from() {
     plays(async {
         let listeners = [0, 1].map(|_| TcpListener::bind("127.0.0.1:0").unwrap());
         let voters = listeners.each_ref().map(|l| l.local_addr().unwrap().to_string()).to_vec();
@@ -275,20 +286,25 @@
             std::thread::spawn(move || {
                 let mut other = Other::of(listener.accept().unwrap().0);
                 let member = |address: &String| Member { address: address.clone(), ..Member::default() };
-                let set = Some(Set { number: 1, members: voters.iter().map(member).collect() });
-                other.say(What::Welcome(Welcome { voters, own: own as u32, set, ..Welcome::default() }));
+                let set = Some(VoterSet { number: 1, members: voters.iter().map(member).collect() });
+                other.say(Payload::Welcome(Welcome {
+                    voters,
+                    own_position: own as u32,
+                    voter_set: set,
+                    ..Welcome::default()
+                }));
                 while let Some(what) = other.next() {
                     // The first votes for the second, too, which says nothing.
-                    if let (What::Claim(claim), 0) = (what, own) {
+                    if let (Payload::Claim(claim), 0) = (what, own) {
                         for voter in [0, 1] {
                             let (id, ticket) = (claim.id, claim.ticket);
-                            other.say(What::Claimed(Claimed {
+                            other.say(Payload::ClaimReply(ClaimReply {
                                 id,
                                 vote: 1,
                                 ticket,
                                 voter,
-                                set: 1,
-                                ..Claimed::default()
+                                set_number: 1,
+                                ..ClaimReply::default()
                             }));
                         }
                     }
@@ -300,7 +316,10 @@
         while house.voters.reached() != (2, 2) {
             tokio::task::yield_now().await;
         }
-        let ticket = notchspool_mesh_protocol::Ticket { life: 7, number: 1, turn: 0 };
-        assert_eq!(house.claim("k", ticket).await, notchspool_idempotency::round::Verdict::Nobody);
+        let ticket = notchspool_mesh_protocol::Ticket { boot_id: 7, number: 1, attempt: 0 };
+        assert_eq!(
+            house.claim("k", ticket).await,
+            notchspool_idempotency::claim_proposal::Outcome::Undecided
+        );
     });
 }
--- /dev/null
+++ b/crates/endpoint-registry/src/endpoint_list.rs
@@ -0,0 +1,72 @@
+//! The list of endpoints that a proxy holds: last good, with the version that the control plane gave it.
+//!
+//! A failed refresh leaves it as it is; older versions are ignored; of one instance the later report counts, whichever replica it came
+//! from.
+use std::collections::{BTreeMap, BTreeSet};
+
+use notchspool_mesh_protocol::{Endpoint, EndpointState, EndpointUpdate};
+
+use crate::supersedes;
+
+/// Endpoints by instance.
+#[derive(Clone, Debug, Default)]
+pub struct EndpointList {
+    version: u64,
+    endpoints: BTreeMap<String, Endpoint>,
+}
+
+/// What an update changed.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct Changes {
+    /// Endpoints that are new or of which more is known.
+    pub updated: Vec<Endpoint>,
+    /// In the list until now, and not in the complete update that came: nobody has heard of them lately.
+    pub removed: Vec<Endpoint>,
+}
+
+impl EndpointList {
+    /// The version held; 0 where none is.
+    pub fn version(&self) -> u64 {
+        self.version
+    }
+
+    /// All endpoints, by instance.
+    pub fn endpoints(&self) -> impl Iterator<Item = &Endpoint> {
+        self.endpoints.values()
+    }
+
+    /// The endpoint of this instance.
+    pub fn get(&self, instance: &str) -> Option<&Endpoint> {
+        self.endpoints.get(instance)
+    }
+
+    /// Takes an update; `None` where it is older than what is held.
+    pub fn apply(&mut self, update: EndpointUpdate) -> Option<Changes> {
+        if update.version < self.version {
+            return None;
+        }
+        self.version = update.version;
+        let removed = if update.complete { self.remove_all_but(&update.endpoints) } else { Vec::new() };
+        let mut updated = Vec::new();
+        for endpoint in update.endpoints {
+            if self.endpoints.get(&endpoint.instance).is_none_or(|old| supersedes(&endpoint, old)) {
+                updated.push(endpoint.clone());
+                self.endpoints.insert(endpoint.instance.clone(), endpoint);
+            }
+        }
+        Some(Changes { updated, removed })
+    }
+
+    fn remove_all_but(&mut self, present: &[Endpoint]) -> Vec<Endpoint> {
+        let present: BTreeSet<&str> = present.iter().map(|endpoint| endpoint.instance.as_str()).collect();
+        let absent = self.endpoints.values().filter(|known| !present.contains(known.instance.as_str()));
+        let mut removed: Vec<Endpoint> = absent.cloned().collect();
+        for endpoint in &mut removed {
+            if endpoint.state() != EndpointState::Left {
+                endpoint.set_state(EndpointState::Missing);
+            }
+            self.endpoints.remove(&endpoint.instance);
+        }
+        removed
+    }
+}
--- /dev/null
+++ b/crates/endpoint-registry/src/heartbeats.rs
@@ -0,0 +1,174 @@
+//! The backend beside a proxy, as its heartbeats tell. One function, [`HeartbeatTracker::apply`], changes the state.
+use std::collections::VecDeque;
+
+use notchspool::units::Micros;
+use notchspool_mesh_protocol::EndpointState;
+
+/// Intervals without a heartbeat after which a backend is missing.
+const MISSED_INTERVALS: f64 = 3.5;
+/// A step of time longer than this: this process stood still.
+const STALL: Micros = Micros::ms(1_000);
+/// Instances that are remembered as having left.
+const MAX_LEFT: usize = 64;
+
+/// One heartbeat (`instances.heartbeat`), as it was read.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct Heartbeat {
+    /// The backend's id.
+    pub instance: String,
+    /// Its service.
+    pub service: String,
+    /// Where it listens.
+    pub address: String,
+    /// Its zone.
+    pub zone: String,
+    /// Requests that it takes at once.
+    pub slots: u32,
+    /// It finishes what it has, and takes nothing new.
+    pub draining: bool,
+    /// How long it is still slow from its start.
+    pub warmup: Micros,
+    /// `callCount`: rises with each call of the backend, so that a late one is known.
+    pub call_count: u64,
+}
+
+/// The backend of this machine.
+#[derive(Clone, Debug, PartialEq)]
+pub struct LocalBackend {
+    /// The newest heartbeat.
+    pub heartbeat: Heartbeat,
+    /// Its state.
+    pub state: EndpointState,
+    /// When the last heartbeat came.
+    pub last_heartbeat_at: Micros,
+    /// When the first heartbeat that said `draining` was acknowledged.
+    pub draining_since: Option<Micros>,
+    /// Until when it is slow.
+    pub warm_at: Micros,
+}
+
+/// What happened.
+#[derive(Clone, Debug)]
+pub enum Event {
+    /// A heartbeat came.
+    Heartbeat(Heartbeat),
+    /// A replica tells what an earlier run of this proxy knew; a backend that is another one says so itself.
+    Recalled(Heartbeat),
+    /// The backend said that it leaves (`instances.leave`).
+    Leave(String),
+    /// Time has passed.
+    Tick,
+}
+
+/// Follows the heartbeats of one backend after the other.
+#[derive(Clone, Debug, Default)]
+pub struct HeartbeatTracker {
+    /// The backend beside this proxy, once it was heard.
+    pub backend: Option<LocalBackend>,
+    /// Instances that have left: a late heartbeat does not bring them back.
+    left: VecDeque<String>,
+    missing_after: Micros,
+    /// After a stall of this process nobody is taken for missing before this.
+    blind_until: Micros,
+    last_event_at: Micros,
+}
+
+impl HeartbeatTracker {
+    /// `interval`: the time between two heartbeats.
+    pub fn new(interval: Micros, now: Micros) -> HeartbeatTracker {
+        let missing_after = interval.times(MISSED_INTERVALS);
+        HeartbeatTracker { missing_after, last_event_at: now, ..HeartbeatTracker::default() }
+    }
+
+    /// Takes an event. Whether the others have to be told.
+    pub fn apply(&mut self, now: Micros, event: Event) -> bool {
+        let step = now - std::mem::replace(&mut self.last_event_at, now);
+        if step >= STALL {
+            self.blind_until = now + self.missing_after;
+        }
+        match event {
+            Event::Heartbeat(heartbeat) => self.on_heartbeat(now, heartbeat),
+            Event::Recalled(heartbeat) => self.backend.is_none() && self.on_heartbeat(now, heartbeat),
+            Event::Leave(instance) => self.on_leave(now, instance),
+            Event::Tick => self.on_tick(now),
+        }
+    }
+
+    fn on_leave(&mut self, now: Micros, instance: String) -> bool {
+        if self.left.len() >= MAX_LEFT {
+            self.left.pop_front();
+        }
+        self.left.push_back(instance.clone());
+        let is_here =
+            |b: &&mut LocalBackend| b.heartbeat.instance == instance && b.state != EndpointState::Left;
+        let Some(backend) = self.backend.as_mut().filter(is_here) else { return false };
+        backend.state = EndpointState::Left;
+        backend.draining_since = backend.draining_since.or(Some(now));
+        true
+    }
+
+    fn on_tick(&mut self, now: Micros) -> bool {
+        let Some(backend) = &mut self.backend else { return false };
+        let is_live = matches!(backend.state, EndpointState::Ready | EndpointState::Draining);
+        let silent = now - backend.last_heartbeat_at >= self.missing_after;
+        let is_missing = is_live && silent && now >= self.blind_until;
+        if is_missing {
+            backend.state = EndpointState::Missing;
+        }
+        is_missing
+    }
+
+    fn on_heartbeat(&mut self, now: Micros, heartbeat: Heartbeat) -> bool {
+        if self.left.contains(&heartbeat.instance) {
+            return false;
+        }
+        let state = if heartbeat.draining { EndpointState::Draining } else { EndpointState::Ready };
+        let warm_at = if heartbeat.warmup > Micros(0) { now + heartbeat.warmup } else { Micros(0) };
+        match &mut self.backend {
+            Some(backend) if backend.heartbeat.instance == heartbeat.instance => {
+                backend.on_heartbeat(now, heartbeat, state, warm_at)
+            }
+            _ => {
+                let draining_since = heartbeat.draining.then_some(now);
+                let last_heartbeat_at = now;
+                self.backend =
+                    Some(LocalBackend { heartbeat, state, last_heartbeat_at, draining_since, warm_at });
+                true
+            }
+        }
+    }
+}
+
+impl LocalBackend {
+    /// A further heartbeat of the same instance. Whether anything that the others have to know has changed.
+    fn on_heartbeat(
+        &mut self,
+        now: Micros,
+        heartbeat: Heartbeat,
+        state: EndpointState,
+        warm_at: Micros,
+    ) -> bool {
+        self.last_heartbeat_at = now;
+        let is_late = heartbeat.call_count < self.heartbeat.call_count;
+        if is_late {
+            return false;
+        }
+        let leaves_drain = self.state == EndpointState::Draining && state == EndpointState::Ready;
+        if leaves_drain {
+            // A backend that drains goes on to its end.
+            self.heartbeat.call_count = heartbeat.call_count;
+            return false;
+        }
+        let changed = self.state != state
+            || self.heartbeat.slots != heartbeat.slots
+            || self.heartbeat.service != heartbeat.service
+            || self.heartbeat.address != heartbeat.address;
+        if state == EndpointState::Draining {
+            self.draining_since = self.draining_since.or(Some(now));
+        }
+        self.heartbeat = heartbeat;
+        self.state = state;
+        self.warm_at = warm_at;
+        changed
+    }
+}
--- a/crates/endpoint-registry/src/lib.rs
+++ b/crates/endpoint-registry/src/lib.rs
@@ -1,18 +1,26 @@
-//! Who exists. `board`: what one prompter gathers of the ushers' stations and numbers; `playbill`: the list that an usher holds; `beats`:
-//! what the usher beside a backend makes of its beats. No I/O; times are of a steady clock and handed in.
-pub mod beats;
-pub mod board;
-pub mod playbill;
+//! Which endpoints there are. No I/O; times are of a monotonic clock and handed in.
+//!
+//! [`heartbeats`] is the proxy's view of the backend beside it; [`registry`] is what one control-plane replica gathers from the proxies,
+//! and numbers; [`endpoint_list`] is the list that a proxy holds.
+#![warn(missing_docs)]
 
-use notchspool_mesh_protocol::{State, Station};
+pub mod endpoint_list;
+pub mod heartbeats;
+pub mod registry;
 
-/// Whether `new` takes the place of `old`, of the same instance. The backend's own count of calls orders what is said of it, over all
-/// lives of its usher; who has left never comes back, and who drains does so till it has.
-pub fn later(new: &Station, old: &Station) -> bool {
+use notchspool_mesh_protocol::{Endpoint, EndpointState};
+
+/// Whether `new` replaces `old`, of the same instance.
+///
+/// The backend's own count of calls orders what is said of it, over all runs of its proxy. A backend that has left never comes back, and
+/// one that drains does so until it has left.
+pub fn supersedes(new: &Endpoint, old: &Endpoint) -> bool {
     match (old.state(), new.state()) {
-        (State::Left, _) => false,
-        (_, State::Left) => true,
-        (State::Draining, State::Ready) => false,
-        (before, now) => new.calls > old.calls || (new.calls == old.calls && before != now),
+        (EndpointState::Left, _) => false,
+        (_, EndpointState::Left) => true,
+        (EndpointState::Draining, EndpointState::Ready) => false,
+        (before, now) => {
+            new.call_count > old.call_count || (new.call_count == old.call_count && before != now)
+        }
     }
 }
--- a/crates/idempotency/tests/claims.rs
+++ b/crates/idempotency/tests/claims.rs
@@ -2,19 +2,19 @@
 use std::collections::BTreeSet;
 
 use notchspool::units::Micros;
-use notchspool_idempotency::coats::{Coat, Coats, Event};
-use notchspool_idempotency::rack::{Rack, Vote};
-use notchspool_idempotency::round::{Round, Verdict};
-use notchspool_mesh_protocol::{Claim, Claimed, Ticket};
+use notchspool_idempotency::claim_proposal::{ClaimProposal, Outcome};
+use notchspool_idempotency::claim_table::{ClaimTable, Decision};
+use notchspool_idempotency::response_cache::{Event, OperationState, ResponseCache};
+use notchspool_mesh_protocol::{Claim, ClaimReply, Ticket};
 
 fn claim(ticket: u64, turn: u32) -> Claim {
-    let ticket = Some(Ticket { life: 1, number: ticket, turn });
-    Claim { key: "k".into(), ticket, holder: "h".into(), holder_life: 1, ..Claim::default() }
+    let ticket = Some(Ticket { boot_id: 1, number: ticket, attempt: turn });
+    Claim { key: "k".into(), ticket, holder: "h".into(), holder_boot_id: 1, ..Claim::default() }
 }
 
 /// Steps: a ticket comes to a voter; or one whose round is over without a majority is taken back there.
 fn holds(steps: Vec<(u8, u8, bool)>) -> bool {
-    let mut racks = vec![Rack::open(Micros::ms(60_000)); 3];
+    let mut racks = vec![ClaimTable::new(Micros::ms(60_000)); 3];
     let mut granted: Vec<BTreeSet<usize>> = vec![BTreeSet::new(); 4];
     let (mut ran, mut given_up) = (None, BTreeSet::new());
     for (n, (ticket, voter, back)) in steps.into_iter().enumerate() {
@@ -22,10 +22,10 @@
         if back && ran != Some(t) {
             // It has not run and never will: it does not count what comes later.
             given_up.insert(t);
-            racks[v].withdraw("k", Ticket { life: 1, number: t as u64, turn: 9 });
+            racks[v].withdraw("k", Ticket { boot_id: 1, number: t as u64, attempt: 9 });
             continue;
         }
-        if racks[v].claim(now, &claim(t as u64, 0)) == Vote::Granted && !given_up.contains(&t) {
+        if racks[v].claim(now, &claim(t as u64, 0)) == Decision::Granted && !given_up.contains(&t) {
             granted[t].insert(v);
             if granted[t].len() >= 2 {
                 if ran.is_some_and(|first| first != t) {
@@ -46,98 +46,98 @@
         .quickcheck(holds as fn(Vec<(u8, u8, bool)>) -> bool);
 }
 
-fn said(voter: u32, vote: u32, ticket: u64, set: u64) -> Claimed {
-    let ticket = Some(Ticket { life: 1, number: ticket, turn: 0 });
-    Claimed { voter, vote, ticket, set, ..Claimed::default() }
+fn reply(voter: u32, vote: i32, ticket: u64, set: u64) -> ClaimReply {
+    let ticket = Some(Ticket { boot_id: 1, number: ticket, attempt: 0 });
+    ClaimReply { voter, vote, ticket, set_number: set, ..ClaimReply::default() }
 }
 
 #[test]
 fn a_fence_is_granted_only_where_the_first_ticket_has_no_majority_and_never_will() {
-    let mut racks = vec![Rack::open(Micros::ms(60_000)); 3];
+    let mut racks = vec![ClaimTable::new(Micros::ms(60_000)); 3];
     let now = Micros::ms(1);
     // The first ticket reached one voter before its link ended: the fence has the other two, and what comes late is refused there.
-    assert_eq!(racks[0].claim(now, &claim(1, 0)), Vote::Granted);
+    assert_eq!(racks[0].claim(now, &claim(1, 0)), Decision::Granted);
     assert_eq!(
         (racks[1].claim(now, &claim(2, 0)), racks[2].claim(now, &claim(2, 0))),
-        (Vote::Granted, Vote::Granted)
+        (Decision::Granted, Decision::Granted)
     );
-    assert!(matches!(racks[1].claim(now, &claim(1, 0)), Vote::Taken { .. }));
-    assert!(matches!(racks[2].claim(now, &claim(1, 0)), Vote::Taken { .. }));
+    assert!(matches!(racks[1].claim(now, &claim(1, 0)), Decision::HeldByOther { .. }));
+    assert!(matches!(racks[2].claim(now, &claim(1, 0)), Decision::HeldByOther { .. }));
 }
 
 #[test]
 fn the_word_of_another_set_does_not_count() {
-    let mut round = Round::begin(2, 3);
-    round.hear(said(0, 1, 7, 2));
+    let mut proposal = ClaimProposal::new(2, 3);
+    proposal.on_reply(reply(0, 1, 7, 2));
     // Voter 1 was one of an earlier set, whose voter 1 has lost its disk since; and one knows a later set.
-    round.hear(said(1, 1, 7, 1));
-    round.hear(said(2, 1, 7, 3));
-    assert_eq!(round.verdict(false), Verdict::Open);
-    assert_eq!(round.verdict(true), Verdict::Nobody);
-    round.hear(said(1, 1, 7, 2));
-    assert_eq!(round.verdict(false), Verdict::Ours);
+    proposal.on_reply(reply(1, 1, 7, 1));
+    proposal.on_reply(reply(2, 1, 7, 3));
+    assert_eq!(proposal.outcome(false), Outcome::Pending);
+    assert_eq!(proposal.outcome(true), Outcome::Undecided);
+    proposal.on_reply(reply(1, 1, 7, 2));
+    assert_eq!(proposal.outcome(false), Outcome::Granted);
 }
 
 #[test]
 fn a_change_of_the_set_begins_the_round_anew() {
-    let mut round = Round::begin(1, 3);
-    round.hear(said(0, 1, 7, 1));
-    round.hear(Claimed { changing: true, ..said(1, 0, 7, 1) });
-    assert!(round.waits() && round.open(1));
-    round.change(2, 5);
-    round.change(1, 3);
+    let mut proposal = ClaimProposal::new(1, 3);
+    proposal.on_reply(reply(0, 1, 7, 1));
+    proposal.on_reply(ClaimReply { reconfiguring: true, ..reply(1, 0, 7, 1) });
+    assert!(proposal.is_reconfiguring() && proposal.is_outstanding(1));
+    proposal.on_set_changed(2, 5);
+    proposal.on_set_changed(1, 3);
     for voter in 0..2 {
-        round.hear(said(voter, 1, 7, 2));
-        round.hear(said(voter + 2, 1, 7, 1));
+        proposal.on_reply(reply(voter, 1, 7, 2));
+        proposal.on_reply(reply(voter + 2, 1, 7, 1));
     }
-    assert_eq!((round.set(), round.verdict(false)), (2, Verdict::Open));
-    round.hear(said(4, 1, 7, 2));
-    assert_eq!(round.verdict(false), Verdict::Ours);
+    assert_eq!((proposal.set_number(), proposal.outcome(false)), (2, Outcome::Pending));
+    proposal.on_reply(reply(4, 1, 7, 2));
+    assert_eq!(proposal.outcome(false), Outcome::Granted);
 }
 
 #[test]
-fn a_claim_that_is_told_stays_as_old_as_it_was() {
-    let mut rack = Rack::open(Micros::ms(60_000));
-    rack.put(Micros::ms(1), &Claim { age_ms: 59_000, ..claim(1, 0) });
-    assert_eq!(rack.all(Micros::ms(501))[0].age_ms, 59_500);
+fn a_claim_sent_to_another_voter_stays_as_old_as_it_was() {
+    let mut table = ClaimTable::new(Micros::ms(60_000));
+    table.insert(Micros::ms(1), &Claim { age_ms: 59_000, ..claim(1, 0) });
+    assert_eq!(table.all(Micros::ms(501))[0].age_ms, 59_500);
     // Told again as younger, it was granted again there: the younger one counts.
-    rack.put(Micros::ms(501), &Claim { age_ms: 40_000, ..claim(1, 0) });
-    rack.wake(Micros::ms(1_600));
-    assert_eq!(rack.len(), 1);
-    rack.put(Micros::ms(1_700), &Claim { age_ms: 60_000, ..claim(1, 0) });
-    rack.wake(Micros::ms(20_600));
-    assert!(rack.is_empty());
+    table.insert(Micros::ms(501), &Claim { age_ms: 40_000, ..claim(1, 0) });
+    table.tick(Micros::ms(1_600));
+    assert_eq!(table.len(), 1);
+    table.insert(Micros::ms(1_700), &Claim { age_ms: 60_000, ..claim(1, 0) });
+    table.tick(Micros::ms(20_600));
+    assert!(table.is_empty());
 }
 
 #[test]
 fn split_votes_are_nobodys_and_a_majority_of_another_names_its_holder() {
-    let mut round = Round::begin(1, 3);
-    round.hear(said(0, 2, 5, 1));
-    assert_eq!(round.verdict(false), Verdict::Open);
-    assert!(matches!(round.verdict(true), Verdict::Theirs { .. }));
-    let mut round = Round::begin(1, 3);
-    round.hear(said(0, 0, 0, 1));
-    assert_eq!(round.verdict(true), Verdict::Nobody);
+    let mut proposal = ClaimProposal::new(1, 3);
+    proposal.on_reply(reply(0, 2, 5, 1));
+    assert_eq!(proposal.outcome(false), Outcome::Pending);
+    assert!(matches!(proposal.outcome(true), Outcome::HeldByOther { .. }));
+    let mut proposal = ClaimProposal::new(1, 3);
+    proposal.on_reply(reply(0, 0, 0, 1));
+    assert_eq!(proposal.outcome(true), Outcome::Undecided);
 }
 
 #[test]
 fn an_operation_goes_its_way_and_no_other() {
-    let mut coats: Coats<u32> = Coats::open(Micros::ms(1_000), 100);
+    let mut cache: ResponseCache<u32> = ResponseCache::new(Micros::ms(1_000), 100);
     let now = Micros::ms(1);
-    assert!(!coats.turn(now, "k", Event::Granted));
-    assert!(coats.turn(now, "k", Event::Claim) && !coats.turn(now, "k", Event::Claim));
-    assert!(!coats.turn(now, "k", Event::Answer(1, 10)));
-    assert!(coats.turn(now, "k", Event::Granted) && coats.turn(now, "k", Event::Answer(1, 60)));
-    assert!(!coats.turn(now, "k", Event::NotRun) && !coats.turn(now, "k", Event::BrokeOff));
-    assert_eq!(coats.get("k"), Some(&Coat::Kept(1)));
+    assert!(!cache.apply(now, "k", Event::Granted));
+    assert!(cache.apply(now, "k", Event::Claim) && !cache.apply(now, "k", Event::Claim));
+    assert!(!cache.apply(now, "k", Event::Response(1, 10)));
+    assert!(cache.apply(now, "k", Event::Granted) && cache.apply(now, "k", Event::Response(1, 60)));
+    assert!(!cache.apply(now, "k", Event::NotRun) && !cache.apply(now, "k", Event::BrokeOff));
+    assert_eq!(cache.get("k"), Some(&OperationState::Completed(1)));
     // Past the bound of bytes the oldest answer goes; that it ran stays known.
-    for event in [Event::Claim, Event::Granted, Event::Answer(2, 60)] {
-        assert!(coats.turn(now, "l", event));
+    for event in [Event::Claim, Event::Granted, Event::Response(2, 60)] {
+        assert!(cache.apply(now, "l", event));
     }
     assert_eq!(
-        (coats.get("k"), coats.get("l"), coats.bytes()),
-        (Some(&Coat::Lost), Some(&Coat::Kept(2)), 60)
+        (cache.get("k"), cache.get("l"), cache.bytes()),
+        (Some(&OperationState::Lost), Some(&OperationState::Completed(2)), 60)
     );
-    coats.wake(Micros::ms(2_000));
-    assert_eq!((coats.get("k"), coats.get("l"), coats.bytes()), (None, None, 0));
+    cache.tick(Micros::ms(2_000));
+    assert_eq!((cache.get("k"), cache.get("l"), cache.bytes()), (None, None, 0));
 }
--- a/crates/lab/src/mesh/changes.rs
+++ b/crates/lab/src/mesh/changes.rs
@@ -1,21 +1,21 @@
-//! Hundreds of changes of a large configuration: three whole offices with their true disks, and one usher, in virtual time. What stays on the disk,
-//! how long a start takes, what goes to a peer and to an usher for a change, and how one that was away catches up.
+//! Hundreds of changes of a large configuration: three whole offices with their true disks, and one proxy, in virtual time. What stays on the disk,
+//! how long a start takes, what goes to a peer and to a proxy for a change, and how one that was away catches up.
 use std::collections::VecDeque;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
 use notchspool::units::Micros;
-use notchspool_control_plane::office::{Act, Office, Opening, Tolerate};
-use notchspool_mesh_protocol::texts::{Heard, Texts};
-use notchspool_mesh_protocol::{Hello, Watch, What};
-use notchspool_storage::Trapdoor;
+use notchspool_control_plane::replica::{Effect, Replica, ReplicaOptions, Tolerance};
+use notchspool_mesh_protocol::text_transfer::{Incoming, TextStore};
+use notchspool_mesh_protocol::{Hello, Payload, WatchEndpoints};
+use notchspool_storage::Storage;
 
 use super::player::routes;
 
 const WINDOW: Duration = Duration::from_secs(62);
 const CORES: usize = 3;
-/// The usher's place among the ends.
-const USHER: usize = CORES;
+/// The proxy's place among the ends.
+const PROXY: usize = CORES;
 /// Nothing takes longer, in virtual time.
 const PATIENCE: Micros = Micros::ms(20_000);
 
@@ -38,19 +38,19 @@
     /// On the fullest of the disks, ever.
     pub disk_bytes: u64,
     pub disk_files: usize,
-    /// Bytes of texts that a prompter held at most.
+    /// Bytes of texts that a replica held at most.
     pub texts: usize,
-    /// Bytes sent for a change on average, after the first: to one other prompter, to the usher.
+    /// Bytes sent for a change on average, after the first: to one other replica, to the proxy.
     pub to_peer: f64,
-    pub to_usher: f64,
+    pub to_proxy: f64,
     pub refused: u64,
     pub returns: Vec<Return>,
 }
 
 struct Core {
-    office: Option<Office>,
-    trapdoor: Option<Trapdoor>,
-    texts: Texts,
+    office: Option<Replica>,
+    trapdoor: Option<Storage>,
+    texts: TextStore,
     folder: PathBuf,
 }
 
@@ -58,10 +58,10 @@
     now: Micros,
     life: u64,
     cores: Vec<Core>,
-    usher: Texts,
-    usher_has: u64,
+    proxy: TextStore,
+    proxy_has: u64,
     /// From whom, to whom, in order.
-    way: VecDeque<(usize, usize, What)>,
+    way: VecDeque<(usize, usize, Payload)>,
     sent: Vec<Vec<u64>>,
     replies: Vec<(u64, u16)>,
     body: usize,
@@ -76,32 +76,32 @@
     format!("10.0.0.{}:1", at + 1)
 }
 
-fn size(what: &What) -> u64 {
+fn size(what: &Payload) -> u64 {
     let mut out = bytes::BytesMut::new();
-    notchspool_mesh_protocol::write(what.clone(), &mut out);
+    notchspool_mesh_protocol::encode(what.clone(), &mut out);
     out.len() as u64
 }
 
 impl Ground {
     fn start(&mut self, at: usize, first: bool) -> Result<Duration, String> {
         let began = Instant::now();
-        let (trapdoor, found) = Trapdoor::open(&self.cores[at].folder, WINDOW).map_err(|e| e.to_string())?;
-        let mut texts = Texts::open(4);
-        found.entry.iter().for_each(|e| texts.hold(e.value.as_bytes()));
+        let (trapdoor, found) = Storage::open(&self.cores[at].folder, WINDOW).map_err(|e| e.to_string())?;
+        let mut texts = TextStore::new(4);
+        found.accepted.iter().for_each(|e| texts.hold(e.value.as_bytes()));
         self.life += 1;
         let seeds: Vec<String> = (0..CORES).map(address).collect();
         let window = Micros(WINDOW.as_micros() as i64);
-        let opening = Opening {
-            own: address(at),
+        let opening = ReplicaOptions {
+            address: address(at),
             zone: "a".into(),
             counted: true,
-            tolerate: Tolerate { machines: 1, zones: 0 },
-            life: self.life * 7919,
+            tolerate: Tolerance { machines: 1, zones: 0 },
+            boot_id: self.life * 7919,
             first_start: first,
             seeds,
-            window,
+            claim_window: window,
         };
-        let (office, acts) = Office::open(opening, found, self.now);
+        let (office, acts) = Replica::open(opening, found, self.now);
         let took = began.elapsed();
         let core = &mut self.cores[at];
         (core.office, core.trapdoor, core.texts) = (Some(office), Some(trapdoor), texts);
@@ -113,25 +113,26 @@
             }
         }
         if at == 0 {
-            self.greet(USHER, 0, 1);
-            let watch = What::Watch(Watch { have: 0, line: 0 });
-            self.send(USHER, 0, true, watch);
+            self.greet(PROXY, 0, 1);
+            let watch = Payload::WatchEndpoints(WatchEndpoints { version: 0, numbered_by: 0 });
+            self.send(PROXY, 0, true, watch);
         }
         Ok(took)
     }
 
-    fn greet(&mut self, from: usize, to: usize, role: u32) {
+    fn greet(&mut self, from: usize, to: usize, role: i32) {
         let office = self.cores.get(from).and_then(|c| c.office.as_ref());
-        let incarnation = office.map_or(0, Office::incarnation);
+        let incarnation = office.map_or(0, Replica::incarnation);
         let hello = Hello { role, address: address(from), incarnation, counted: true, ..Hello::default() };
-        let hello = What::Hello(hello);
+        let hello = Payload::Hello(hello);
         self.send(from, to, true, hello);
     }
 
     fn dial(&mut self, from: usize, to: usize) -> Result<(), String> {
         self.greet(from, to, 2);
         let now = self.now;
-        let acts = self.cores[from].office.as_mut().map(|o| o.peer(now, conn(to, true), &address(to)));
+        let acts =
+            self.cores[from].office.as_mut().map(|o| o.on_connected(now, conn(to, true), &address(to)));
         self.act(from, acts.unwrap_or_default())
     }
 
@@ -141,43 +142,43 @@
         for other in 0..CORES {
             for opened in [true, false] {
                 let conn = conn(at, opened);
-                self.cores[other].office.iter_mut().for_each(|o| o.closed(conn));
-                self.cores[other].texts.closed(conn);
+                self.cores[other].office.iter_mut().for_each(|o| o.on_closed(conn));
+                self.cores[other].texts.on_closed(conn);
             }
         }
     }
 
-    fn texts(&mut self, at: usize) -> &mut Texts {
-        if at == USHER { &mut self.usher } else { &mut self.cores[at].texts }
+    fn texts(&mut self, at: usize) -> &mut TextStore {
+        if at == PROXY { &mut self.proxy } else { &mut self.cores[at].texts }
     }
 
     /// `opened`: on the connection that the sender opened. The other end knows it as one that it took.
-    fn send(&mut self, from: usize, to: usize, opened: bool, what: What) {
-        let what = self.texts(from).send(conn(to, opened), what);
+    fn send(&mut self, from: usize, to: usize, opened: bool, what: Payload) {
+        let what = self.texts(from).outgoing(conn(to, opened), what);
         self.sent[from][to] += size(&what);
         // The low bit of the place says whose connection it is.
         self.way.push_back((from * 2 + usize::from(opened), to, what));
     }
 
-    fn act(&mut self, at: usize, acts: Vec<Act>) -> Result<(), String> {
+    fn act(&mut self, at: usize, acts: Vec<Effect>) -> Result<(), String> {
         for act in acts {
             match act {
-                Act::Send(conn, what) => {
+                Effect::Send(conn, what) => {
                     let (to, opened) = ((conn as usize - 100) / 2, conn % 2 == 1);
                     self.send(at, to, opened, what);
                 }
-                Act::Save(number, deeds) => {
+                Effect::Write { id: number, batch: deeds } => {
                     let core = &mut self.cores[at];
                     let written = core.trapdoor.as_mut().map(|t| t.write(&deeds));
                     written.unwrap_or(Ok(())).map_err(|e| e.to_string())?;
                     if number > 0 {
                         let now = self.now;
-                        let acts = core.office.as_mut().map(|o| o.saved(now, number, true));
+                        let acts = core.office.as_mut().map(|o| o.on_written(now, number, true));
                         self.act(at, acts.unwrap_or_default())?;
                     }
                 }
-                Act::Reply(id, status, _) => self.replies.push((id, status)),
-                Act::Voters(_) | Act::Log(_) => {}
+                Effect::Reply { call: id, status, .. } => self.replies.push((id, status)),
+                Effect::Connect(_) | Effect::Log(_) => {}
             }
         }
         Ok(())
@@ -190,27 +191,27 @@
         for (from, to, what) in std::mem::take(&mut self.way) {
             let (from, opened) = (from / 2, from % 2 == 1);
             let conn = conn(from, !opened);
-            let what = match self.texts(to).hear(conn, what) {
-                Heard::Says(what) => what,
-                Heard::Ask(back) => {
+            let what = match self.texts(to).incoming(conn, what) {
+                Incoming::Message(what) => what,
+                Incoming::Reply(back) => {
                     self.send(to, from, !opened, back);
                     continue;
                 }
-                Heard::Done => continue,
+                Incoming::Nothing => continue,
             };
-            if to == USHER {
-                if let What::Word(word) = what {
+            if to == PROXY {
+                if let Payload::ConfigUpdate(word) = what {
                     let same = routes_of(&word.body) == Some(word.version);
-                    self.usher_has = if same { word.version } else { return Err("another body".into()) };
+                    self.proxy_has = if same { word.version } else { return Err("another body".into()) };
                 }
                 continue;
             }
-            let acts = self.cores[to].office.as_mut().map(|o| o.hear(now, conn, what));
+            let acts = self.cores[to].office.as_mut().map(|o| o.on_message(now, conn, what));
             self.act(to, acts.unwrap_or_default())?;
         }
         if (now.0 / 1_000) % 50 == 0 {
             for at in 0..CORES {
-                let acts = self.cores[at].office.as_mut().map(|o| o.wake(now));
+                let acts = self.cores[at].office.as_mut().map(|o| o.tick(now));
                 self.act(at, acts.unwrap_or_default())?;
             }
         }
@@ -233,12 +234,13 @@
         let at = if self.cores[2].office.is_some() { version as usize % CORES } else { version as usize % 2 };
         let (body, now) = (routes(version, count), self.now);
         self.body = self.body.max(body.len());
-        let acts = self.cores[at].office.as_mut().map(|o| o.put(now, version, body.as_bytes()));
+        let acts = self.cores[at].office.as_mut().map(|o| o.replace_config(now, version, body.as_bytes()));
         self.act(at, acts.unwrap_or_default())?;
         self.until(&format!("version {version}"), |g| {
-            let held =
-                |c: &Core| c.office.as_ref().is_none_or(|o| o.chosen().is_some_and(|h| h.version == version));
-            g.replies.contains(&(version, 200)) && g.cores.iter().all(held) && g.usher_has == version
+            let held = |c: &Core| {
+                c.office.as_ref().is_none_or(|o| o.chosen_config().is_some_and(|h| h.version == version))
+            };
+            g.replies.contains(&(version, 200)) && g.cores.iter().all(held) && g.proxy_has == version
         })?;
         self.replies.clear();
         Ok(())
@@ -258,7 +260,7 @@
         let start = self.start(2, false)?;
         let caught_up = self.until("it catches up", |g| {
             let office = g.cores[2].office.as_ref();
-            office.is_some_and(|o| o.votes() && o.chosen().is_some_and(|h| h.version == newest))
+            office.is_some_and(|o| o.is_voting() && o.chosen_config().is_some_and(|h| h.version == newest))
         })?;
         Ok(Return { away, caught_up, bytes: self.sent[0][2] + self.sent[1][2] - before, start })
     }
@@ -284,21 +286,21 @@
     })
 }
 
-/// So many changes of so many routes, in folders below this one. One prompter is away for the last 1, 10 and 100 and a third of them, then comes with
+/// So many changes of so many routes, in folders below this one. One replica is away for the last 1, 10 and 100 and a third of them, then comes with
 /// an empty disk.
 pub fn changes(count: u64, route_count: u64, folder: &Path) -> Result<Figures, String> {
     let core = |at: usize| Core {
         office: None,
         trapdoor: None,
-        texts: Texts::open(4),
+        texts: TextStore::new(4),
         folder: folder.join(format!("core-{}", at + 1)),
     };
     let mut ground = Ground {
         now: Micros(1),
         life: 0,
         cores: (0..CORES).map(core).collect(),
-        usher: Texts::open(2),
-        usher_has: 0,
+        proxy: TextStore::new(2),
+        proxy_has: 0,
         way: VecDeque::new(),
         sent: vec![vec![0; CORES + 1]; CORES + 1],
         replies: Vec::new(),
@@ -307,12 +309,13 @@
     for at in 0..CORES {
         ground.start(at, true)?;
     }
-    ground.until("all vote", |g| g.cores.iter().all(|c| c.office.as_ref().is_some_and(Office::votes)))?;
+    ground
+        .until("all vote", |g| g.cores.iter().all(|c| c.office.as_ref().is_some_and(Replica::is_voting)))?;
     let mut figures = Figures::default();
     ground.change(1, route_count)?;
     let away: Vec<u64> = [1, 10, 100, count / 3].into_iter().filter(|n| *n > 0 && *n <= count / 3).collect();
     let plain = count - 1 - away.iter().sum::<u64>().min(count - 1);
-    let before = (ground.sent[0][1] + ground.sent[1][0], ground.sent[0][USHER]);
+    let before = (ground.sent[0][1] + ground.sent[1][0], ground.sent[0][PROXY]);
     let mut version = 1;
     for _ in 0..plain {
         version += 1;
@@ -323,7 +326,7 @@
     }
     let changes = plain.max(1) as f64;
     figures.to_peer = (ground.sent[0][1] + ground.sent[1][0] - before.0) as f64 / changes;
-    figures.to_usher = (ground.sent[0][USHER] - before.1) as f64 / changes;
+    figures.to_proxy = (ground.sent[0][PROXY] - before.1) as f64 / changes;
     for n in away {
         ground.stop(2);
         for _ in 0..n {
@@ -341,6 +344,6 @@
     ground.disk(&mut figures);
     figures.body = ground.body;
     figures.refused =
-        ground.cores.iter().map(|c| c.texts.counts.refused).sum::<u64>() + ground.usher.counts.refused;
+        ground.cores.iter().map(|c| c.texts.counters.rejected).sum::<u64>() + ground.proxy.counters.rejected;
     Ok(figures)
 }
--- a/crates/lab/src/mesh/drawn.rs
+++ b/crates/lab/src/mesh/drawn.rs
@@ -4,7 +4,7 @@
 
 use super::{Breach, Player};
 
-/// Troubles within what is to be borne: one core at a time, any ushers, and now and then all processes of the core at once. Meanwhile orders,
+/// Troubles within what is to be borne: one core at a time, any proxies, and now and then all processes of the core at once. Meanwhile orders,
 /// two bodies under one number, orders sent again, reads and claims.
 pub fn drawn(seed: u64) -> Vec<String> {
     let mut player = Player::new(3, 4, seed, &[]);
@@ -28,7 +28,7 @@
             player.start_core(*core);
         }
         back.retain(|b| b.0 > now);
-        let (core, usher) = (below(3) as usize, below(4) as usize);
+        let (core, proxy) = (below(3) as usize, below(4) as usize);
         match below(24) {
             0..=3 => {
                 version += below(3);
@@ -55,9 +55,9 @@
                 player.put(core, old, "old");
                 orders.push((old, "old".to_string()));
             }
-            6..=13 => player.claim(usher, &format!("k{}", below(40))),
-            14 => player.kill_usher(usher),
-            15 => player.start_usher(usher),
+            6..=13 => player.claim(proxy, &format!("k{}", below(40))),
+            14 => player.kill_proxy(proxy),
+            15 => player.start_proxy(proxy),
             16 if now >= free_at && back.is_empty() => {
                 // Cuts and standstills last up to twenty seconds.
                 let long = below(4) == 0;
--- a/crates/lab/src/mesh/mod.rs
+++ b/crates/lab/src/mesh/mod.rs
@@ -1,12 +1,12 @@
-//! The mesh in virtual time: prompters (their whole `Office`) and ushers (their decisions) with links, disks and clocks that fail. Played by
+//! The mesh in virtual time: replicas (their whole `Office`) and proxies (their decisions) with links, disks and clocks that fail. Played by
 //! timelines drawn as text, one column an agent, and by drawn ones; one checker for all. `traffic` is the data plane, with a player and a judge of its own.
 mod changes;
 mod drawn;
 mod player;
+mod proxy;
 mod storms;
 mod timeline;
 pub mod traffic;
-mod usher;
 
 pub use changes::{Figures, Return, changes};
 pub use drawn::{drawn, drawn_members, drawn_members_with};
