--- a/crates/lab/src/mesh/player.rs
+++ b/crates/lab/src/mesh/player.rs
@@ -1,24 +1,26 @@
-//! Prompters and ushers in virtual time. Links carry messages in order after a delay, hold them while cut and end after silence; a disk has
+//! Replicas and proxies in virtual time. Links carry messages in order after a delay, hold them while cut and end after silence; a disk has
 //! what was synced, and after a loss of power each later write or not.
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use notchspool::units::Micros;
 use notchspool_consensus::voter_set::VoterSet;
 use notchspool_consensus::{Ballot, ContenderId, Entry, Token};
-use notchspool_control_plane::office::{Act, Office, Opening, Tolerate};
-use notchspool_endpoint_registry::beats::Event as Call;
-use notchspool_idempotency::coats::Event as Turn;
-use notchspool_idempotency::round::Verdict;
+use notchspool_control_plane::replica::{Effect, Replica, ReplicaOptions, Tolerance};
+use notchspool_endpoint_registry::heartbeats::Event as Call;
+use notchspool_idempotency::claim_proposal::Outcome as ClaimOutcome;
+use notchspool_idempotency::response_cache::Event as Turn;
 use notchspool_mesh_config::digest::Digest;
 use notchspool_mesh_config::register::{RegisterValue, VersionedConfig};
 use notchspool_mesh_config::route_config::RouteConfig;
-use notchspool_mesh_protocol as cues;
-use notchspool_mesh_protocol::texts::{Heard, Texts};
-use notchspool_mesh_protocol::{Claim, Hello, Ping, Snapshot, Want, Watch, What, Withdraw};
-use notchspool_storage::{Deed, Found, Seat};
+use notchspool_mesh_protocol as protocol;
+use notchspool_mesh_protocol::text_transfer::{Incoming, TextStore};
+use notchspool_mesh_protocol::{
+    Claim, ConfigRequest, Hello, Payload, Ping, Snapshot, WatchEndpoints, WithdrawClaim,
+};
+use notchspool_storage::{MembershipRecord, Recovered, WriteOp};
 use oorandom::Rand64;
 
-use super::usher::{BEAT, Usher};
+use super::proxy::{BEAT, Proxy};
 
 /// A link that hears nothing ends after this.
 const SILENCE: Micros = Micros::ms(2_200);
@@ -29,35 +31,39 @@
 /// What is on a disk.
 #[derive(Clone, Debug, Default)]
 pub struct Store {
-    found: Found,
+    found: Recovered,
     claims: BTreeMap<(String, u64, u64), Claim>,
 }
 
 impl Store {
-    fn apply(&mut self, deed: &Deed, breach: Breach) {
+    fn apply(&mut self, deed: &WriteOp, breach: Breach) {
         let keep_first = breach == Breach::SealNotKept;
         match deed {
-            Deed::Promise(ballot) => self.found.promised = self.found.promised.max(*ballot),
-            Deed::Word(_, entry) => {
+            WriteOp::Promise(ballot) => self.found.promised = self.found.promised.max(*ballot),
+            WriteOp::Accept { entry, .. } => {
                 if self
                     .found
-                    .entry
+                    .accepted
                     .as_ref()
                     .is_none_or(|old| (old.ballot, old.sequence) < (entry.ballot, entry.sequence))
                 {
-                    self.found.entry = Some(entry.clone());
+                    self.found.accepted = Some(entry.clone());
                 }
             }
-            Deed::Seat(_) if keep_first && self.found.seat.is_some() => {}
-            Deed::Install(snapshot) => self.install(snapshot, breach),
-            Deed::Seat(seat) => self.found.seat = Some(seat.clone()),
-            Deed::Claim(claim) => {
+            WriteOp::Membership(_) if keep_first && self.found.membership.is_some() => {}
+            WriteOp::InstallSnapshot(snapshot) => self.install(snapshot, breach),
+            WriteOp::Membership(seat) => self.found.membership = Some(seat.clone()),
+            WriteOp::Claim(claim) => {
                 let ticket = claim.ticket.unwrap_or_default();
-                self.claims.insert((claim.key.clone(), ticket.life, ticket.number), claim.clone());
+                self.claims.insert((claim.key.clone(), ticket.boot_id, ticket.number), claim.clone());
             }
-            Deed::Withdraw(key, ticket) => {
-                let at = (key.clone(), ticket.life, ticket.number);
-                if self.claims.get(&at).is_some_and(|c| c.ticket.unwrap_or_default().turn <= ticket.turn) {
+            WriteOp::WithdrawClaim(key, ticket) => {
+                let at = (key.clone(), ticket.boot_id, ticket.number);
+                if self
+                    .claims
+                    .get(&at)
+                    .is_some_and(|c| c.ticket.unwrap_or_default().attempt <= ticket.attempt)
+                {
                     self.claims.remove(&at);
                 }
             }
@@ -67,34 +73,37 @@
     fn install(&mut self, snapshot: &Snapshot, breach: Breach) {
         let told = |b: Option<notchspool_mesh_protocol::Ballot>| {
             let b = b.unwrap_or_default();
-            Ballot { token: Token(0), round: b.round, by: ContenderId(b.by) }
+            Ballot { token: Token(0), round: b.round, by: ContenderId(b.proposer) }
         };
-        let entry =
-            snapshot.body.clone().map(|value| Entry { ballot: told(snapshot.under), sequence: 1, value });
-        if breach != Breach::SealNotKept || self.found.seat.is_none() {
-            self.found.seat = serde_json::from_slice(&snapshot.seat).ok();
+        let entry = snapshot.body.clone().map(|value| Entry {
+            ballot: told(snapshot.accepted_ballot),
+            sequence: 1,
+            value,
+        });
+        if breach != Breach::SealNotKept || self.found.membership.is_none() {
+            self.found.membership = serde_json::from_slice(&snapshot.membership).ok();
         }
-        (self.found.promised, self.found.entry) = (told(snapshot.promised), entry);
-        snapshot.claims.iter().for_each(|c| self.apply(&Deed::Claim(c.clone()), breach));
+        (self.found.promised, self.found.accepted) = (told(snapshot.promised), entry);
+        snapshot.claims.iter().for_each(|c| self.apply(&WriteOp::Claim(c.clone()), breach));
     }
-    fn found(&self) -> Found {
-        Found { claims: self.claims.values().cloned().collect(), ..self.found.clone() }
+    fn found(&self) -> Recovered {
+        Recovered { claims: self.claims.values().cloned().collect(), ..self.found.clone() }
     }
 }
 
 struct Core {
     address: String,
-    office: Option<Office>,
+    office: Option<Replica>,
     store: Store,
     /// Handed to the disk and not yet synced: number, when it is done.
-    pending: Vec<(Micros, u64, Vec<Deed>)>,
+    pending: Vec<(Micros, u64, Vec<WriteOp>)>,
     sync: Micros,
     /// The disk refuses.
     full: bool,
     /// The process stands still; what operators send meanwhile is read when it goes on.
     frozen: bool,
     waits: Vec<(u64, Option<String>)>,
-    texts: Texts,
+    texts: TextStore,
     /// It is not there at the first start of all; it is gone for good; it is to end by itself.
     absent: bool,
     removed: bool,
@@ -102,16 +111,16 @@
     counted: bool,
 }
 
-/// Configurations that a prompter and an usher hold, as in their processes.
+/// Configurations that a replica and a proxy hold, as in their processes.
 const TEXTS: (usize, usize) = (4, 2);
 
-/// One end of a link: core or usher, by place, and its number of the connection.
+/// One end of a link: core or proxy, by place, and its number of the connection.
 type End = (bool, usize, u64);
 
 struct Link {
     ends: [End; 2],
     /// Messages on their way: when they arrive, to which end.
-    way: Vec<(Micros, usize, What)>,
+    way: Vec<(Micros, usize, Payload)>,
     /// When each end last could hear the other.
     heard: [Micros; 2],
 }
@@ -127,7 +136,7 @@
     pub now: Micros,
     chance: Rand64,
     cores: Vec<Core>,
-    pub ushers: Vec<Usher>,
+    pub proxies: Vec<Proxy>,
     links: Vec<Link>,
     /// Pairs of names that are cut from each other; `*` stands for all.
     pub cuts: BTreeSet<(String, String)>,
@@ -231,14 +240,14 @@
 
 impl Player {
     /// Cores that are `absent` are not there at the first start of all: seeds that never come, or machines that are added later.
-    pub fn new(cores: usize, ushers: usize, seed: u64, absent: &[usize]) -> Player {
+    pub fn new(cores: usize, proxies: usize, seed: u64, absent: &[usize]) -> Player {
         let there = (0..cores).filter(|at| *at < 3 || !absent.contains(at)).count();
         let address = |at: usize| format!("10.0.0.{}:1", at + 1);
         let mut player = Player {
             now: Micros(1),
             chance: Rand64::new(u128::from(seed)),
             cores: Vec::new(),
-            ushers: Vec::new(),
+            proxies: Vec::new(),
             links: Vec::new(),
             cuts: BTreeSet::new(),
             one_way: BTreeSet::new(),
@@ -273,7 +282,7 @@
                 full: false,
                 frozen: false,
                 waits: Vec::new(),
-                texts: Texts::open(TEXTS.0),
+                texts: TextStore::new(TEXTS.0),
                 absent: absent.contains(&at),
                 removed: false,
                 ends: false,
@@ -284,10 +293,10 @@
                 player.open(at, true, &seeds);
             }
         }
-        for at in 0..ushers {
+        for at in 0..proxies {
             player.lives += 1;
-            let name = format!("usher-{}", (b'a' + at as u8) as char);
-            player.ushers.push(Usher::new(&name, address(100 + at), player.lives, player.now));
+            let name = format!("proxy-{}", (b'a' + at as u8) as char);
+            player.proxies.push(Proxy::new(&name, address(100 + at), player.lives, player.now));
         }
         player
     }
@@ -295,22 +304,22 @@
     fn open(&mut self, at: usize, first: bool, seeds: &[String]) {
         self.lives += 1;
         let core = &self.cores[at];
-        let mut texts = Texts::open(TEXTS.0);
-        texts.trusting = self.trusting;
+        let mut texts = TextStore::new(TEXTS.0);
+        texts.skip_digest_check = self.trusting;
         let found = core.store.found();
-        found.entry.iter().for_each(|e| texts.hold(e.value.as_bytes()));
-        let opening = Opening {
-            own: core.address.clone(),
+        found.accepted.iter().for_each(|e| texts.hold(e.value.as_bytes()));
+        let opening = ReplicaOptions {
+            address: core.address.clone(),
             zone: ["a", "b", "c"][at % 3].into(),
             counted: core.counted,
-            tolerate: Tolerate { machines: self.bears, zones: 0 },
-            life: self.lives * 7919,
+            tolerate: Tolerance { machines: self.bears, zones: 0 },
+            boot_id: self.lives * 7919,
             first_start: first,
             seeds: seeds.to_vec(),
-            window: WINDOW,
+            claim_window: WINDOW,
         };
         self.cores[at].texts = texts;
-        let (office, acts) = Office::open(opening, found, self.now);
+        let (office, acts) = Replica::open(opening, found, self.now);
         self.cores[at].office = Some(office);
         self.act(at, acts);
     }
@@ -320,7 +329,7 @@
     }
 
     fn name(&self, end: &End) -> String {
-        if end.0 { Player::core_name(end.1) } else { self.ushers[end.1].name.clone() }
+        if end.0 { Player::core_name(end.1) } else { self.proxies[end.1].name.clone() }
     }
 
     fn cut(&self, a: &str, b: &str) -> bool {
@@ -340,30 +349,30 @@
     }
 
     fn up(&self, end: &End) -> bool {
-        if end.0 { self.cores[end.1].office.is_some() } else { self.ushers[end.1].up }
+        if end.0 { self.cores[end.1].office.is_some() } else { self.proxies[end.1].up }
     }
 
     // ---- What agents do ---------------------------------------------------------------------------------
 
-    fn act(&mut self, at: usize, acts: Vec<Act>) {
+    fn act(&mut self, at: usize, acts: Vec<Effect>) {
         for act in acts {
             match act {
-                Act::Send(conn, what) => self.send((true, at, conn), what),
-                Act::Save(number, deeds) => {
+                Effect::Send(conn, what) => self.send((true, at, conn), what),
+                Effect::Write { id: number, batch: deeds } => {
                     let core = &mut self.cores[at];
                     let after = core.pending.last().map_or(self.now, |p| p.0).max(self.now);
                     core.pending.push((after + core.sync, number, deeds));
                     if self.breach == Breach::VotesBeforeDisk && number > 0 {
-                        let acts = core.office.as_mut().map(|o| o.saved(self.now, number, true));
+                        let acts = core.office.as_mut().map(|o| o.on_written(self.now, number, true));
                         self.act(at, acts.unwrap_or_default());
                     }
                 }
-                Act::Reply(id, status, body) => self.replied(id, Reply { status, body }),
-                Act::Log(line) if line.starts_with("members: ") => {
+                Effect::Reply { call: id, status, body } => self.replied(id, Reply { status, body }),
+                Effect::Log(line) if line.starts_with("members: ") => {
                     let time = self.now.over(Micros::ms(1_000));
                     self.logs.push(format!("{time:.3} {}: {line}", Player::core_name(at)));
                 }
-                Act::Voters(_) | Act::Log(_) => {}
+                Effect::Connect(_) | Effect::Log(_) => {}
             }
         }
     }
@@ -423,16 +432,16 @@
         }
     }
 
-    fn texts(&mut self, end: &End) -> &mut Texts {
-        if end.0 { &mut self.cores[end.1].texts } else { &mut self.ushers[end.1].texts }
+    fn texts(&mut self, end: &End) -> &mut TextStore {
+        if end.0 { &mut self.cores[end.1].texts } else { &mut self.proxies[end.1].texts }
     }
 
-    fn send(&mut self, from: End, mut what: What) {
+    fn send(&mut self, from: End, mut what: Payload) {
         match &mut what {
-            What::Welcome(w) if from.0 && w.sure => self.vouches(from.1, w.chosen),
-            What::Holding(h) if from.0 && h.sure => self.vouches(from.1, h.chosen),
-            What::Vote(cues::Vote { body: Some(body), .. })
-            | What::Voted(cues::Voted { body: Some(body), .. })
+            Payload::Welcome(w) if from.0 && w.confirmed => self.vouches(from.1, w.chosen_version),
+            Payload::KnownVersion(h) if from.0 && h.confirmed => self.vouches(from.1, h.version),
+            Payload::VoteRequest(protocol::VoteRequest { body: Some(body), .. })
+            | Payload::VoteReply(protocol::VoteReply { body: Some(body), .. })
                 if self.breach == Breach::KeepsNoHistory =>
             {
                 if let Some(held) = VersionedConfig::parse(body) {
@@ -446,7 +455,7 @@
         if !self.links.iter().any(|l| l.ends.contains(&from)) {
             return;
         }
-        let what = self.texts(&from).send(from.2, what);
+        let what = self.texts(&from).outgoing(from.2, what);
         if let Some(link) = self.links.iter_mut().find(|l| l.ends.contains(&from)) {
             let to = usize::from(link.ends[0] == from);
             let last = link.way.iter().filter(|w| w.1 == to).map(|w| w.0).max().unwrap_or(now);
@@ -454,42 +463,42 @@
         }
     }
 
-    /// Sends to all voters that an usher is connected with.
-    fn tell(&mut self, usher: usize, what: What) {
-        let ends = self.to_voters(usher);
+    /// Sends to all voters that a proxy is connected with.
+    fn tell(&mut self, proxy: usize, what: Payload) {
+        let ends = self.to_voters(proxy);
         ends.into_iter().for_each(|end| self.send(end, what.clone()));
     }
 
-    /// An usher's ends of its links with voters.
-    fn to_voters(&self, usher: usize) -> Vec<End> {
-        let voters = &self.ushers[usher].voters;
-        let all = self.links.iter().filter(|l| !l.ends[0].0 && l.ends[0].1 == usher);
+    /// A proxy's ends of its links with voters.
+    fn to_voters(&self, proxy: usize) -> Vec<End> {
+        let voters = &self.proxies[proxy].voters;
+        let all = self.links.iter().filter(|l| !l.ends[0].0 && l.ends[0].1 == proxy);
         let all = all.filter(|l| voters.contains(&self.cores[l.ends[1].1].address));
         all.map(|l| l.ends[0]).collect()
     }
 
     /// As if nobody compared the numbers of sets.
-    fn unnumbered(&self, to: End, mut what: What) -> What {
+    fn unnumbered(&self, to: End, mut what: Payload) -> Payload {
         let known = match to.0 {
-            true => self.cores[to.1].office.as_ref().map_or(0, |o| o.set().number),
-            false => self.ushers[to.1].set,
+            true => self.cores[to.1].office.as_ref().map_or(0, |o| o.voter_set().number),
+            false => self.proxies[to.1].set,
         };
         match &mut what {
-            What::Claim(claim) => claim.set = known,
-            What::Claimed(claimed) => claimed.set = known,
-            What::Vote(vote) => vote.set = known,
-            What::Voted(voted) => voted.set = known,
-            What::Welcome(welcome) if !to.0 && known > 0 => welcome.set = None,
+            Payload::Claim(claim) => claim.set_number = known,
+            Payload::ClaimReply(claimed) => claimed.set_number = known,
+            Payload::VoteRequest(vote) => vote.set_number = known,
+            Payload::VoteReply(voted) => voted.set_number = known,
+            Payload::Welcome(welcome) if !to.0 && known > 0 => welcome.voter_set = None,
             _ => {}
         }
         what
     }
 
-    fn deliver(&mut self, to: End, from: End, what: What) {
-        let what = match self.texts(&to).hear(to.2, what) {
-            Heard::Says(what) => what,
-            Heard::Ask(back) => return self.send(to, back),
-            Heard::Done => return,
+    fn deliver(&mut self, to: End, from: End, what: Payload) {
+        let what = match self.texts(&to).incoming(to.2, what) {
+            Incoming::Message(what) => what,
+            Incoming::Reply(back) => return self.send(to, back),
+            Incoming::Nothing => return,
         };
         let what = match self.breach {
             Breach::NumberNotChecked => self.unnumbered(to, what),
@@ -498,44 +507,44 @@
         if to.0 {
             let now = self.now;
             if let Some(office) = self.cores[to.1].office.as_mut() {
-                let acts = office.hear(now, to.2, what);
+                let acts = office.on_message(now, to.2, what);
                 self.act(to.1, acts);
             }
             return;
         }
         let (at, now) = (to.1, self.now);
         match what {
-            What::Welcome(welcome) => {
-                if let Some(set) = &welcome.set
-                    && self.ushers[at].learns(set)
-                    && let Some(station) = self.ushers[at].station()
+            Payload::Welcome(welcome) => {
+                if let Some(set) = &welcome.voter_set
+                    && self.proxies[at].learns(set)
+                    && let Some(station) = self.proxies[at].station()
                 {
-                    self.tell(at, What::Station(station));
+                    self.tell(at, Payload::Endpoint(station));
                 }
-                if let Some(station) = self.ushers[at].station() {
-                    self.send(to, What::Station(station));
+                if let Some(station) = self.proxies[at].station() {
+                    self.send(to, Payload::Endpoint(station));
                 }
-                self.holding(to, welcome.chosen, welcome.sure);
+                self.holding(to, welcome.chosen_version, welcome.confirmed);
             }
-            What::Holding(holding) => self.holding(to, holding.chosen, holding.sure),
-            What::Word(word) => {
-                let body = notchspool_mesh_protocol::unpack(&word).unwrap_or_default();
+            Payload::KnownVersion(holding) => self.holding(to, holding.version, holding.confirmed),
+            Payload::ConfigUpdate(word) => {
+                let body = word.checked_body().unwrap_or_default();
                 self.word(at, word.version, &String::from_utf8_lossy(&body));
             }
-            What::Bill(bill) if self.ushers[at].followed == Some(from.1) => {
-                let usher = &mut self.ushers[at];
-                let (before, version) = (usher.playbill.version(), bill.version);
-                usher.line = bill.line;
-                if let Some(changes) = usher.playbill.take(bill) {
-                    usher.company.listed(now, version, &changes);
+            Payload::EndpointUpdate(bill) if self.proxies[at].followed == Some(from.1) => {
+                let proxy = &mut self.proxies[at];
+                let (before, version) = (proxy.playbill.version(), bill.version);
+                proxy.line = bill.numbered_by;
+                if let Some(changes) = proxy.playbill.apply(bill) {
+                    proxy.company.listed(now, version, &changes);
                 }
-                if usher.playbill.version() < before {
-                    self.wrong.push(format!("{now:?}: the list of an usher went back from {before}"));
+                if proxy.playbill.version() < before {
+                    self.wrong.push(format!("{now:?}: the list of a proxy went back from {before}"));
                 }
             }
-            What::Claimed(claimed) => {
-                if let Some(hand) = self.ushers[at].hands.get_mut(&claimed.id) {
-                    hand.round.hear(claimed);
+            Payload::ClaimReply(claimed) => {
+                if let Some(hand) = self.proxies[at].hands.get_mut(&claimed.id) {
+                    hand.round.on_reply(claimed);
                 }
             }
             _ => {}
@@ -545,21 +554,21 @@
     /// What a core has that isn't sure of it is asked for only a second later.
     fn holding(&mut self, to: End, version: u64, sure: bool) {
         let now = self.now;
-        let usher = &mut self.ushers[to.1];
-        if version > usher.version && sure {
-            self.send(to, What::Want(Want { version }));
-        } else if version > usher.version {
-            usher.doubtful = Some((now + Micros::ms(1_000), to.2, version));
+        let proxy = &mut self.proxies[to.1];
+        if version > proxy.version && sure {
+            self.send(to, Payload::ConfigRequest(ConfigRequest { version }));
+        } else if version > proxy.version {
+            proxy.doubtful = Some((now + Micros::ms(1_000), to.2, version));
         }
     }
 
     fn word(&mut self, at: usize, version: u64, body: &str) {
-        let usher = &mut self.ushers[at];
-        if version <= usher.version {
+        let proxy = &mut self.proxies[at];
+        if version <= proxy.version {
             return;
         }
-        (usher.version, usher.body) = (version, body.to_string());
-        usher.had.insert(version);
+        (proxy.version, proxy.body) = (version, body.to_string());
+        proxy.had.insert(version);
         if !self.sent.get(&version).is_some_and(|all| all.contains(body)) {
             self.wrong
                 .push(format!("{:?}: version {version} is told with a body that nobody sent", self.now));
@@ -580,27 +589,35 @@
         runs.len() as u64
     }
 
-    fn verdict(&mut self, at: usize, key: &str, ticket: notchspool_mesh_protocol::Ticket, verdict: Verdict) {
+    fn verdict(
+        &mut self,
+        at: usize,
+        key: &str,
+        ticket: notchspool_mesh_protocol::Ticket,
+        verdict: ClaimOutcome,
+    ) {
         let now = self.now;
-        if verdict == Verdict::Ours {
-            self.ushers[at].coats.turn(now, key, Turn::Granted);
+        if verdict == ClaimOutcome::Granted {
+            self.proxies[at].coats.apply(now, key, Turn::Granted);
             self.ran(key);
-            self.ushers[at].runs.push((now + RUN, key.to_string()));
+            self.proxies[at].runs.push((now + RUN, key.to_string()));
             return;
         }
-        self.ushers[at].coats.turn(now, key, Turn::NotRun);
-        self.tell(at, What::Withdraw(Withdraw { key: key.to_string(), ticket: Some(ticket) }));
+        self.proxies[at].coats.apply(now, key, Turn::NotRun);
+        self.tell(at, Payload::WithdrawClaim(WithdrawClaim { key: key.to_string(), ticket: Some(ticket) }));
         let answer = match verdict {
-            Verdict::Theirs { holder, holder_life, .. } => {
-                let holder = self.ushers.iter().find(|u| u.address == holder && u.up);
-                match holder.filter(|u| u.life == holder_life && !self.cut(&u.name, &self.ushers[at].name)) {
+            ClaimOutcome::HeldByOther { holder, holder_boot_id, .. } => {
+                let holder = self.proxies.iter().find(|u| u.address == holder && u.up);
+                match holder
+                    .filter(|u| u.life == holder_boot_id && !self.cut(&u.name, &self.proxies[at].name))
+                {
                     Some(holder) => holder.coats.get(key).map_or("503".into(), |coat| holder.coat(coat)),
                     None => "502".into(),
                 }
             }
             _ => "503".into(),
         };
-        self.ushers[at].answers.insert(key.to_string(), answer);
+        self.proxies[at].answers.insert(key.to_string(), answer);
     }
 
     // ---- What is done to them ---------------------------------------------------------------------------
@@ -609,8 +626,8 @@
     pub fn plant(&mut self, breach: Breach) {
         self.breach = breach;
         self.trusting = breach == Breach::TrustsTexts;
-        self.cores.iter_mut().for_each(|c| c.texts.trusting = self.trusting);
-        self.ushers.iter_mut().for_each(|u| u.texts.trusting = self.trusting);
+        self.cores.iter_mut().for_each(|c| c.texts.skip_digest_check = self.trusting);
+        self.proxies.iter_mut().for_each(|u| u.texts.skip_digest_check = self.trusting);
     }
 
     /// An operator's put at a core; the number of its reply.
@@ -630,14 +647,14 @@
 
     /// What a process held of earlier texts is gone but for an old one, without anybody knowing.
     pub fn forget(&mut self, core: bool, at: usize) {
-        let texts = if core { &mut self.cores[at].texts } else { &mut self.ushers[at].texts };
-        texts.forget();
+        let texts = if core { &mut self.cores[at].texts } else { &mut self.proxies[at].texts };
+        texts.clear();
         texts.hold(routes(1, STORM.0).as_bytes());
     }
 
     /// Texts that a process could not make out.
     pub fn refused(&self, core: bool, at: usize) -> u64 {
-        if core { self.cores[at].texts.counts.refused } else { self.ushers[at].texts.counts.refused }
+        if core { self.cores[at].texts.counters.rejected } else { self.proxies[at].texts.counters.rejected }
     }
 
     fn put_body(&mut self, core: usize, version: u64, body: String) -> u64 {
@@ -668,7 +685,7 @@
         let (now, breach) = (self.now, self.breach);
         let Some(office) = self.cores[core].office.as_mut() else { return };
         if breach == Breach::AnswersFromHeld
-            && let Some(held) = office.chosen().cloned()
+            && let Some(held) = office.chosen_config().cloned()
         {
             let order = self.calls.get(&id).and_then(|c| c.order.as_ref().map(|o| o.0));
             if order.is_none_or(|version| version <= held.version) {
@@ -677,8 +694,8 @@
             }
         }
         let acts = match body {
-            Some(body) => office.put(now, id, body.as_bytes()),
-            None => office.read(now, id),
+            Some(body) => office.replace_config(now, id, body.as_bytes()),
+            None => office.read_config(now, id),
         };
         self.act(core, acts);
     }
@@ -717,9 +734,9 @@
         self.cuts.insert((Player::core_name(core), other.to_string()));
     }
 
-    /// Cuts an usher from another agent, `*` for all.
-    pub fn cut_usher(&mut self, usher: usize, other: &str) {
-        self.cuts.insert((self.ushers[usher].name.clone(), other.to_string()));
+    /// Cuts a proxy from another agent, `*` for all.
+    pub fn cut_proxy(&mut self, proxy: usize, other: &str) {
+        self.cuts.insert((self.proxies[proxy].name.clone(), other.to_string()));
     }
 
     pub fn core_up(&self, at: usize) -> bool {
@@ -734,11 +751,11 @@
     /// Whether it says that its version is the newest.
     pub fn sure(&mut self, at: usize) -> bool {
         let now = self.now;
-        self.cores[at].office.as_mut().is_some_and(|o| o.vouches(now).0)
+        self.cores[at].office.as_mut().is_some_and(|o| o.confirmed_version(now).confirmed)
     }
 
     pub fn votes(&self, at: usize) -> bool {
-        self.cores[at].office.as_ref().is_some_and(Office::votes)
+        self.cores[at].office.as_ref().is_some_and(Replica::is_voting)
     }
 
     pub fn set_disk(&mut self, core: usize, full: bool, sync: Micros) {
@@ -787,12 +804,12 @@
     /// Its settings say whether its loss counts.
     pub fn counts(&mut self, at: usize, counted: bool) {
         self.cores[at].counted = counted;
-        self.cores[at].office.iter_mut().for_each(|o| o.counts_now(counted));
+        self.cores[at].office.iter_mut().for_each(|o| o.set_counted(counted));
     }
 
     /// Whether a core's disk has this version, or a later one.
     pub fn keeps(&self, at: usize, version: u64) -> bool {
-        let entry = self.cores[at].store.found.entry.as_ref();
+        let entry = self.cores[at].store.found.accepted.as_ref();
         entry.and_then(|e| VersionedConfig::parse(&e.value)).is_some_and(|h| h.version >= version)
     }
 
@@ -804,16 +821,16 @@
     /// A member that does not wait till it has installed its set.
     fn hasten(&mut self, at: usize) {
         let Some(office) = &self.cores[at].office else { return };
-        let set = office.set().clone();
+        let set = office.voter_set().clone();
         if self.cores[at].ends
-            || office.seated()
+            || office.is_installed()
             || set.position_of(&self.cores[at].address, office.incarnation()).is_none()
         {
             return;
         }
-        let seat = Seat { incarnation: office.incarnation(), set, ..Seat::default() };
+        let seat = MembershipRecord { incarnation: office.incarnation(), set, ..MembershipRecord::default() };
         self.kill_core(at, false);
-        self.cores[at].store.found.seat = Some(seat);
+        self.cores[at].store.found.membership = Some(seat);
         self.start_core(at);
     }
 
@@ -821,17 +838,17 @@
     pub fn members(&self, at: usize) -> String {
         let Some(office) = &self.cores[at].office else { return "down".into() };
         let place = |a: &String| self.cores.iter().position(|c| c.address == *a).map_or(0, |p| p + 1);
-        let mut places: Vec<usize> = office.set().addresses().iter().map(place).collect();
+        let mut places: Vec<usize> = office.voter_set().addresses().iter().map(place).collect();
         places.sort_unstable();
         places.iter().map(usize::to_string).collect::<Vec<_>>().join(",")
     }
 
     pub fn wipe(&mut self, at: usize) {
         self.kill_core(at, true);
-        let seat = self.cores[at].store.found.seat.clone();
+        let seat = self.cores[at].store.found.membership.clone();
         self.cores[at].store = Store::default();
         if self.breach == Breach::ForgetsItsDisk {
-            self.cores[at].store.found.seat = seat;
+            self.cores[at].store.found.membership = seat;
         }
     }
 
@@ -843,18 +860,18 @@
         }
     }
 
-    pub fn kill_usher(&mut self, at: usize) {
-        self.ushers[at].up = false;
+    pub fn kill_proxy(&mut self, at: usize) {
+        self.proxies[at].up = false;
         self.close((false, at));
     }
 
-    pub fn start_usher(&mut self, at: usize) {
-        if !self.ushers[at].up {
+    pub fn start_proxy(&mut self, at: usize) {
+        if !self.proxies[at].up {
             self.lives += 1;
-            let old = &self.ushers[at];
-            let mut new = Usher::new(&old.name, old.address.clone(), self.lives, self.now);
+            let old = &self.proxies[at];
+            let mut new = Proxy::new(&old.name, old.address.clone(), self.lives, self.now);
             new.backend.clone_from(&old.backend);
-            self.ushers[at] = new;
+            self.proxies[at] = new;
         }
     }
 
@@ -874,35 +891,35 @@
 
     /// A link has ended; who followed the board at its end follows it no more.
     fn unlinked(&mut self, ends: [End; 2]) {
-        if !ends[0].0 && self.ushers[ends[0].1].followed == Some(ends[1].1) {
-            let usher = &mut self.ushers[ends[0].1];
-            usher.followed = None;
+        if !ends[0].0 && self.proxies[ends[0].1].followed == Some(ends[1].1) {
+            let proxy = &mut self.proxies[ends[0].1];
+            proxy.followed = None;
             // Resumed elsewhere after a jittered backoff.
-            usher.follow_at = self.now + Micros((self.chance.rand_float() * 100_000.0) as i64);
+            proxy.follow_at = self.now + Micros((self.chance.rand_float() * 100_000.0) as i64);
         }
         ends.into_iter().for_each(|end| self.closed(end));
     }
 
     fn closed(&mut self, end: End) {
-        self.texts(&end).closed(end.2);
+        self.texts(&end).on_closed(end.2);
         if end.0 {
-            self.cores[end.1].office.iter_mut().for_each(|o| o.closed(end.2));
+            self.cores[end.1].office.iter_mut().for_each(|o| o.on_closed(end.2));
         }
     }
 
-    pub fn claim(&mut self, usher: usize, key: &str) {
+    pub fn claim(&mut self, proxy: usize, key: &str) {
         let now = self.now;
-        if self.ushers[usher].up
-            && let Some(what) = self.ushers[usher].claim(now, key)
+        if self.proxies[proxy].up
+            && let Some(what) = self.proxies[proxy].claim(now, key)
         {
-            self.tell(usher, what);
+            self.tell(proxy, what);
         }
     }
 
-    /// What the backend of an usher says next: it beats from now on, drains, leaves or falls silent.
-    pub fn backend(&mut self, usher: usize, instance: &str, state: &str) {
+    /// What the backend of a proxy says next: it beats from now on, drains, leaves or falls silent.
+    pub fn backend(&mut self, proxy: usize, instance: &str, state: &str) {
         let now = self.now;
-        let u = &mut self.ushers[usher];
+        let u = &mut self.proxies[proxy];
         let calls = u.backend.as_ref().filter(|b| b.0 == instance).map_or(0, |b| b.2);
         let what = match state {
             "leave" => {
@@ -919,7 +936,7 @@
                 u.beat(now)
             }
         };
-        what.into_iter().for_each(|what| self.tell(usher, what));
+        what.into_iter().for_each(|what| self.tell(proxy, what));
     }
 
     // ---- Time -------------------------------------------------------------------------------------------
@@ -929,11 +946,11 @@
         for to in 0..self.cores.len() {
             wanted.extend((0..self.cores.len()).filter(|from| *from != to).map(|from| ((true, from, 0), to)));
             let address = &self.cores[to].address;
-            let calls = |at: &usize| match &self.ushers[*at].voters[..] {
+            let calls = |at: &usize| match &self.proxies[*at].voters[..] {
                 [] => to < 3,
                 voters => voters.contains(address),
             };
-            wanted.extend((0..self.ushers.len()).filter(calls).map(|from| ((false, from, 0), to)));
+            wanted.extend((0..self.proxies.len()).filter(calls).map(|from| ((false, from, 0), to)));
         }
         for (from, to) in wanted {
             let linked = self.links.iter().any(|l| {
@@ -948,20 +965,21 @@
             self.links.push(Link { ends, way: Vec::new(), heard: [self.now; 2] });
             let (role, address) = match from.0 {
                 true => (2, self.cores[from.1].address.clone()),
-                false => (1, self.ushers[from.1].address.clone()),
+                false => (1, self.proxies[from.1].address.clone()),
             };
-            let mut hello = Hello { role, address, life: 1, ..Hello::default() };
+            let mut hello = Hello { role, address, boot_id: 1, ..Hello::default() };
             if let Some(core) = Some(from.1).filter(|_| from.0).map(|at| &self.cores[at]) {
                 hello.counted = core.counted;
                 hello.zone = ["a", "b", "c"][from.1 % 3].into();
                 let office = core.office.as_ref();
-                (hello.incarnation, hello.life) = office.map_or((0, 0), |o| (o.incarnation(), o.life()));
+                (hello.incarnation, hello.boot_id) =
+                    office.map_or((0, 0), |o| (o.incarnation(), o.boot_id()));
             }
-            self.send(ends[0], What::Hello(hello));
+            self.send(ends[0], Payload::Hello(hello));
             if from.0 {
                 let (now, address) = (self.now, self.cores[to].address.clone());
                 if let Some(office) = self.cores[from.1].office.as_mut() {
-                    let acts = office.peer(now, ends[0].2, &address);
+                    let acts = office.on_connected(now, ends[0].2, &address);
                     self.act(from.1, acts);
                 }
             }
@@ -972,20 +990,20 @@
         let to_voters = self.to_voters(at);
         let linked: Vec<End> =
             self.links.iter().filter(|l| to_voters.contains(&l.ends[0])).map(|l| l.ends[1]).collect();
-        let usher = &mut self.ushers[at];
-        if usher.followed.is_some_and(|core| !linked.iter().any(|e| e.1 == core)) {
+        let proxy = &mut self.proxies[at];
+        if proxy.followed.is_some_and(|core| !linked.iter().any(|e| e.1 == core)) {
             // It has no seat any more: another is followed.
-            usher.followed = None;
+            proxy.followed = None;
         }
-        if usher.followed.is_some() || linked.is_empty() {
+        if proxy.followed.is_some() || linked.is_empty() {
             return;
         }
-        if self.now >= usher.follow_at {
+        if self.now >= proxy.follow_at {
             let pick = linked[(self.chance.rand_float() * linked.len() as f64) as usize % linked.len()];
-            usher.followed = Some(pick.1);
-            let watch = Watch { have: usher.playbill.version(), line: usher.line };
+            proxy.followed = Some(pick.1);
+            let watch = WatchEndpoints { version: proxy.playbill.version(), numbered_by: proxy.line };
             let end = self.links.iter().find(|l| l.ends[1] == pick).map(|l| l.ends[0]);
-            end.into_iter().for_each(|end| self.send(end, What::Watch(watch)));
+            end.into_iter().for_each(|end| self.send(end, Payload::WatchEndpoints(watch)));
         }
     }
 
@@ -1053,7 +1071,7 @@
                         deeds.iter().for_each(|d| self.cores[at].store.apply(d, self.breach));
                     }
                     if let Some(office) = self.cores[at].office.as_mut().filter(|_| number > 0) {
-                        let acts = office.saved(now, number, !full);
+                        let acts = office.on_written(now, number, !full);
                         self.act(at, acts);
                     }
                 }
@@ -1068,8 +1086,8 @@
                     let frozen = self.cores[at].frozen && !seems;
                     let ends = self.cores[at].ends;
                     if let Some(office) = self.cores[at].office.as_mut().filter(|_| !frozen) {
-                        let acts = office.wake(now);
-                        let left = ends && office.left(now);
+                        let acts = office.tick(now);
+                        let left = ends && office.may_exit(now);
                         self.act(at, acts);
                         if left {
                             self.kill_core(at, false);
@@ -1085,8 +1103,8 @@
                 self.dial_at = now + Micros::ms(100);
                 self.dial();
             }
-            for at in 0..self.ushers.len() {
-                self.usher(at);
+            for at in 0..self.proxies.len() {
+                self.proxy(at);
             }
         }
     }
@@ -1099,7 +1117,7 @@
     /// Of one number there is one set.
     fn compare_sets(&mut self) {
         for office in self.cores.iter().filter_map(|c| c.office.as_ref()) {
-            let set = office.set();
+            let set = office.voter_set();
             let first = self.sets.entry(set.number).or_insert_with(|| set.clone());
             if first != set && set.number > 0 {
                 self.wrong.push(format!("{:?}: two sets under one number: {first}, {set}", self.now));
@@ -1116,7 +1134,7 @@
         for end in ends {
             let now = self.now;
             if let Some(office) = self.cores[end.1].office.as_mut() {
-                let acts = office.hear(now, end.2, What::Pong(Ping { number: 0 }));
+                let acts = office.on_message(now, end.2, Payload::Pong(Ping { number: 0 }));
                 self.act(end.1, acts);
             }
         }
@@ -1134,51 +1152,51 @@
         }
     }
 
-    fn usher(&mut self, at: usize) {
+    fn proxy(&mut self, at: usize) {
         let now = self.now;
-        if !self.ushers[at].up {
+        if !self.proxies[at].up {
             return;
         }
         let mut told = Vec::new();
-        if now >= self.ushers[at].beat_at {
-            self.ushers[at].beat_at = now + BEAT;
-            told.extend(self.ushers[at].beat(now));
+        if now >= self.proxies[at].beat_at {
+            self.proxies[at].beat_at = now + BEAT;
+            told.extend(self.proxies[at].beat(now));
         }
         if (now.0 / 1_000) % 100 == 0 {
-            let usher = &mut self.ushers[at];
-            told.extend(usher.event(now, Call::Time));
-            drop(usher.company.wake(now));
-            usher.coats.wake(now);
+            let proxy = &mut self.proxies[at];
+            told.extend(proxy.event(now, Call::Tick));
+            drop(proxy.company.wake(now));
+            proxy.coats.tick(now);
             self.follow(at);
         }
         if (now.0 / 1_000) % 500 == 0 {
-            told.push(What::Ping(Ping { number: 1 }));
+            told.push(Payload::Ping(Ping { number: 1 }));
         }
         told.into_iter().for_each(|what| self.tell(at, what));
-        for (address, claim) in self.ushers[at].again(now) {
+        for (address, claim) in self.proxies[at].again(now) {
             let ends = self.to_voters(at);
             let to = |l: &&Link| ends.contains(&l.ends[0]) && self.cores[l.ends[1].1].address == address;
             let end = self.links.iter().find(to).map(|l| l.ends[0]);
-            end.into_iter().for_each(|end| self.send(end, What::Claim(claim.clone())));
+            end.into_iter().for_each(|end| self.send(end, Payload::Claim(claim.clone())));
         }
-        if let Some((_, conn, version)) = self.ushers[at].doubtful.filter(|d| now >= d.0) {
-            self.ushers[at].doubtful = None;
-            if version > self.ushers[at].version {
-                self.send((false, at, conn), What::Want(Want { version }));
+        if let Some((_, conn, version)) = self.proxies[at].doubtful.filter(|d| now >= d.0) {
+            self.proxies[at].doubtful = None;
+            if version > self.proxies[at].version {
+                self.send((false, at, conn), Payload::ConfigRequest(ConfigRequest { version }));
             }
         }
-        for (hand, verdict) in self.ushers[at].verdicts(now) {
+        for (hand, verdict) in self.proxies[at].verdicts(now) {
             self.verdict(at, &hand.key, hand.ticket, verdict);
         }
-        let usher = &mut self.ushers[at];
+        let proxy = &mut self.proxies[at];
         let (done, on): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut usher.runs).into_iter().partition(|r| r.0 <= now);
-        usher.runs = on;
+            std::mem::take(&mut proxy.runs).into_iter().partition(|r| r.0 <= now);
+        proxy.runs = on;
         for (_, key) in done {
             let nth = self.ran.get(&key).map_or(0, Vec::len) as u64;
-            let usher = &mut self.ushers[at];
-            usher.coats.turn(now, &key, Turn::Answer(nth, 100));
-            usher.answers.insert(key, format!("run-{nth}"));
+            let proxy = &mut self.proxies[at];
+            proxy.coats.apply(now, &key, Turn::Response(nth, 100));
+            proxy.answers.insert(key, format!("run-{nth}"));
         }
     }
 
@@ -1193,14 +1211,18 @@
                 self.start_core(at);
             }
         }
-        (0..self.ushers.len()).for_each(|at| self.start_usher(at));
+        (0..self.proxies.len()).for_each(|at| self.start_proxy(at));
         let until = self.now + Micros::ms(8_000);
         self.play(until);
         let newest = self.acked.last().copied().unwrap_or(0);
         for at in 0..self.cores.len() {
             let Some(office) = &self.cores[at].office else { continue };
-            if office.set().position(&self.cores[at].address).is_some() && !office.votes() {
-                self.wrong.push(format!("core-{} has a seat in {} and does not vote", at + 1, office.set()));
+            if office.voter_set().position(&self.cores[at].address).is_some() && !office.is_voting() {
+                self.wrong.push(format!(
+                    "core-{} has a seat in {} and does not vote",
+                    at + 1,
+                    office.voter_set()
+                ));
             }
             let id = self.read(at);
             let until = self.now + Micros::ms(1_000);
@@ -1222,10 +1244,11 @@
                 }
             }
         }
-        let held: BTreeSet<(u64, String)> = self.ushers.iter().map(|u| (u.version, u.body.clone())).collect();
+        let held: BTreeSet<(u64, String)> =
+            self.proxies.iter().map(|u| (u.version, u.body.clone())).collect();
         if held.len() > 1 {
             let versions: Vec<u64> = held.iter().map(|h| h.0).collect();
-            self.wrong.push(format!("ushers hold different words: {versions:?}"));
+            self.wrong.push(format!("proxies hold different words: {versions:?}"));
         }
         if !self.wrong.is_empty() {
             self.wrong.append(&mut self.logs);
--- a/crates/lab/src/mesh/usher.rs
+++ b/crates/lab/src/mesh/proxy.rs
@@ -1,26 +1,26 @@
-//! An usher's decisions without its sockets: beats, list, companies, claims and coats.
+//! A proxy's decisions without its sockets: beats, list, companies, claims and coats.
 use std::collections::BTreeMap;
 
 use notchspool::units::Micros;
 use notchspool_data_plane::company::{Company, Order};
 use notchspool_data_plane::purse::Purse;
-use notchspool_endpoint_registry::beats::{Beat, Beats, Event};
-use notchspool_endpoint_registry::playbill::Playbill;
-use notchspool_idempotency::coats::{Coat, Coats};
-use notchspool_idempotency::round::{Round, Verdict};
-use notchspool_mesh_protocol::texts::Texts;
-use notchspool_mesh_protocol::{Claim, State, Station, Ticket, What};
+use notchspool_endpoint_registry::endpoint_list::EndpointList;
+use notchspool_endpoint_registry::heartbeats::{Event, Heartbeat, HeartbeatTracker};
+use notchspool_idempotency::claim_proposal::{ClaimProposal, Outcome as ClaimOutcome};
+use notchspool_idempotency::response_cache::{OperationState, ResponseCache};
+use notchspool_mesh_protocol::text_transfer::TextStore;
+use notchspool_mesh_protocol::{Claim, Endpoint, EndpointState, Payload, Ticket};
 
 /// A claim that is waited for.
 pub struct Hand {
     pub key: String,
     pub ticket: Ticket,
-    pub round: Round,
+    pub round: ClaimProposal,
     pub until: Micros,
     again_at: Micros,
 }
 
-pub struct Usher {
+pub struct Proxy {
     pub name: String,
     pub address: String,
     pub up: bool,
@@ -31,13 +31,13 @@
     pub had: std::collections::BTreeSet<u64>,
     /// What a core has that isn't sure of it, and when it is asked for: its end of the link, the version.
     pub doubtful: Option<(Micros, u64, u64)>,
-    pub beats: Beats,
+    pub beats: HeartbeatTracker,
     /// The backend goes on beating: id, draining, count of calls.
     pub backend: Option<(String, bool, u64)>,
     pub beat_at: Micros,
-    pub playbill: Playbill,
+    pub playbill: EndpointList,
     pub company: Company,
-    pub coats: Coats<u64>,
+    pub coats: ResponseCache<u64>,
     pub hands: BTreeMap<u64, Hand>,
     /// Who votes, and the number of that set.
     pub set: u64,
@@ -49,17 +49,17 @@
     pub runs: Vec<(Micros, String)>,
     /// What the last request for a key was answered.
     pub answers: BTreeMap<String, String>,
-    pub texts: Texts,
+    pub texts: TextStore,
     next: u64,
 }
 
 pub const BEAT: Micros = Micros::ms(1_500);
 const WINDOW: Micros = Micros::ms(62_000);
 
-impl Usher {
-    pub fn new(name: &str, address: String, life: u64, now: Micros) -> Usher {
+impl Proxy {
+    pub fn new(name: &str, address: String, life: u64, now: Micros) -> Proxy {
         let purse = Purse::open(0.2, 60.0, Micros::ms(10_000), 8, now);
-        Usher {
+        Proxy {
             name: name.into(),
             address,
             up: true,
@@ -68,12 +68,12 @@
             body: String::new(),
             had: Default::default(),
             doubtful: None,
-            beats: Beats::open(BEAT, now),
+            beats: HeartbeatTracker::new(BEAT, now),
             backend: None,
             beat_at: now,
-            playbill: Playbill::default(),
+            playbill: EndpointList::default(),
             company: Company::open("a", Micros::ms(2_000), life, purse, now),
-            coats: Coats::open(WINDOW, 1 << 20),
+            coats: ResponseCache::new(WINDOW, 1 << 20),
             hands: BTreeMap::new(),
             set: 0,
             voters: Vec::new(),
@@ -82,57 +82,57 @@
             follow_at: now,
             runs: Vec::new(),
             answers: BTreeMap::new(),
-            texts: Texts::open(2),
+            texts: TextStore::new(2),
             next: 0,
         }
     }
 
-    /// Its backend calls, and the prompters are told where that changes something.
-    pub fn event(&mut self, now: Micros, event: Event) -> Option<What> {
-        self.beats.turn(now, event).then(|| self.station()).flatten().map(What::Station)
+    /// Its backend calls, and the replicas are told where that changes something.
+    pub fn event(&mut self, now: Micros, event: Event) -> Option<Payload> {
+        self.beats.apply(now, event).then(|| self.station()).flatten().map(Payload::Endpoint)
     }
 
-    pub fn beat(&mut self, now: Micros) -> Option<What> {
+    pub fn beat(&mut self, now: Micros) -> Option<Payload> {
         let (instance, draining, calls) = self.backend.as_mut()?;
         *calls += 1;
-        let beat = Beat {
+        let beat = Heartbeat {
             instance: instance.clone(),
             service: "s".into(),
             address: format!("{}:1", self.address),
             zone: "a".into(),
             slots: 6,
             draining: *draining,
-            cold: Micros(0),
-            calls: *calls,
+            warmup: Micros(0),
+            call_count: *calls,
         };
-        self.event(now, Event::Beat(beat))
+        self.event(now, Event::Heartbeat(beat))
     }
 
-    pub fn station(&self) -> Option<Station> {
-        let own = self.beats.own.as_ref()?;
-        Some(Station {
-            instance: own.beat.instance.clone(),
-            service: own.beat.service.clone(),
-            usher: self.address.clone(),
-            life: self.life,
-            zone: own.beat.zone.clone(),
-            slots: own.beat.slots,
+    pub fn station(&self) -> Option<Endpoint> {
+        let own = self.beats.backend.as_ref()?;
+        Some(Endpoint {
+            instance: own.heartbeat.instance.clone(),
+            service: own.heartbeat.service.clone(),
+            proxy: self.address.clone(),
+            boot_id: self.life,
+            zone: own.heartbeat.zone.clone(),
+            slots: own.heartbeat.slots,
             state: own.state.into(),
-            address: own.beat.address.clone(),
-            calls: own.beat.calls,
-            ..Station::default()
+            address: own.heartbeat.address.clone(),
+            call_count: own.heartbeat.call_count,
+            ..Endpoint::default()
         })
     }
 
     /// How an instance stands on its list.
     pub fn sees(&self, instance: &str) -> &'static str {
-        match self.playbill.get(instance).map(Station::state) {
-            None | Some(State::Unknown) => "none",
-            Some(State::Ready) => "ready",
-            Some(State::Draining) => "draining",
-            Some(State::Left) => "left",
-            Some(State::Missed) => "missed",
-            Some(State::Away) => "away",
+        match self.playbill.get(instance).map(Endpoint::state) {
+            None | Some(EndpointState::Unknown) => "none",
+            Some(EndpointState::Ready) => "ready",
+            Some(EndpointState::Draining) => "draining",
+            Some(EndpointState::Left) => "left",
+            Some(EndpointState::Missing) => "missed",
+            Some(EndpointState::Away) => "away",
         }
     }
 
@@ -165,13 +165,13 @@
     }
 
     /// Told of a set: true where it is a later one.
-    pub fn learns(&mut self, set: &notchspool_mesh_protocol::Set) -> bool {
+    pub fn learns(&mut self, set: &notchspool_mesh_protocol::VoterSet) -> bool {
         let later = set.number > self.set;
         if later {
             self.set = set.number;
             self.voters = set.members.iter().map(|m| m.address.clone()).collect();
             let (number, voters) = (self.set, self.voters.len());
-            self.hands.values_mut().for_each(|h| h.round.change(number, voters));
+            self.hands.values_mut().for_each(|h| h.round.on_set_changed(number, voters));
         }
         later
     }
@@ -179,68 +179,70 @@
     /// Claims that are asked anew under the set that is known now: of whom, and what.
     pub fn again(&mut self, now: Micros) -> Vec<(String, Claim)> {
         let mut again = Vec::new();
-        for (id, hand) in self.hands.iter_mut().filter(|(_, h)| h.round.waits() && h.again_at <= now) {
+        for (id, hand) in
+            self.hands.iter_mut().filter(|(_, h)| h.round.is_reconfiguring() && h.again_at <= now)
+        {
             hand.again_at = now + Micros::ms(40);
             let claim = Claim {
                 id: *id,
                 key: hand.key.clone(),
                 ticket: Some(hand.ticket),
                 holder: self.address.clone(),
-                holder_life: self.life,
-                set: self.set,
+                holder_boot_id: self.life,
+                set_number: self.set,
                 age_ms: 0,
             };
-            let open = self.voters.iter().enumerate().filter(|(at, _)| hand.round.open(*at));
+            let open = self.voters.iter().enumerate().filter(|(at, _)| hand.round.is_outstanding(*at));
             again.extend(open.map(|(_, address)| (address.clone(), claim.clone())));
         }
         again
     }
 
     /// Claims a key; none where it is known here.
-    pub fn claim(&mut self, now: Micros, key: &str) -> Option<What> {
+    pub fn claim(&mut self, now: Micros, key: &str) -> Option<Payload> {
         if let Some(coat) = self.coats.get(key) {
             let answer = self.coat(coat);
             self.answers.insert(key.into(), answer);
             return None;
         }
         self.next += 1;
-        let ticket = Ticket { life: self.life, number: self.next, turn: 0 };
-        self.coats.turn(now, key, notchspool_idempotency::coats::Event::Claim);
-        let round = Round::begin(self.set, self.voters.len());
+        let ticket = Ticket { boot_id: self.life, number: self.next, attempt: 0 };
+        self.coats.apply(now, key, notchspool_idempotency::response_cache::Event::Claim);
+        let round = ClaimProposal::new(self.set, self.voters.len());
         let until = now + Micros::ms(400);
         let hand = Hand { key: key.into(), ticket, round, until, again_at: now };
         self.hands.insert(self.next, hand);
         self.answers.insert(key.into(), "open".into());
-        Some(What::Claim(Claim {
+        Some(Payload::Claim(Claim {
             id: self.next,
             key: key.into(),
             ticket: Some(ticket),
             holder: self.address.clone(),
-            holder_life: self.life,
-            set: self.set,
+            holder_boot_id: self.life,
+            set_number: self.set,
             age_ms: 0,
         }))
     }
 
-    pub fn coat(&self, coat: &Coat<u64>) -> String {
+    pub fn coat(&self, coat: &OperationState<u64>) -> String {
         match coat {
-            Coat::Claiming | Coat::Working => "409".into(),
-            Coat::Kept(run) => format!("run-{run}"),
-            Coat::Lost => "502".into(),
+            OperationState::Claiming | OperationState::Running => "409".into(),
+            OperationState::Completed(run) => format!("run-{run}"),
+            OperationState::Lost => "502".into(),
         }
     }
 
     /// Claims that have a verdict by now.
-    pub fn verdicts(&mut self, now: Micros) -> Vec<(Hand, Verdict)> {
-        let due: Vec<(u64, Verdict)> = self
+    pub fn verdicts(&mut self, now: Micros) -> Vec<(Hand, ClaimOutcome)> {
+        let due: Vec<(u64, ClaimOutcome)> = self
             .hands
             .iter()
             .map(|(id, hand)| {
                 // A change of the set is worth more patience.
-                let more = Micros::ms(if hand.round.waits() { 800 } else { 0 });
-                (*id, hand.round.verdict(now >= hand.until + more))
+                let more = Micros::ms(if hand.round.is_reconfiguring() { 800 } else { 0 });
+                (*id, hand.round.outcome(now >= hand.until + more))
             })
-            .filter(|(_, verdict)| *verdict != Verdict::Open)
+            .filter(|(_, verdict)| *verdict != ClaimOutcome::Pending)
             .collect();
         due.into_iter().filter_map(|(id, verdict)| Some((self.hands.remove(&id)?, verdict))).collect()
     }
--- a/crates/lab/src/mesh/storms.rs
+++ b/crates/lab/src/mesh/storms.rs
@@ -29,8 +29,8 @@
         player.storm(core, version + 1, to);
         version = to;
         if below(3) == 0 {
-            let usher = below(3) as usize;
-            player.forget(false, usher);
+            let proxy = below(3) as usize;
+            player.forget(false, proxy);
         }
         if below(4) == 0 {
             player.forget(true, core);
--- a/crates/lab/src/mesh/timeline.rs
+++ b/crates/lab/src/mesh/timeline.rs
@@ -47,11 +47,11 @@
 
 /// Plays a timeline, heals all, and gives what was not as it has to be.
 pub fn play(timeline: &Timeline, seed: u64, breach: Breach) -> Vec<String> {
-    let ushers = timeline.columns.iter().filter(|c| c.starts_with("usher-")).count();
+    let proxies = timeline.columns.iter().filter(|c| c.starts_with("proxy-")).count();
     let cores: Vec<&String> = timeline.columns.iter().filter(|c| c.starts_with("core-")).collect();
     // `core-4-` is not there at the first start of all.
     let absent: Vec<usize> = (0..cores.len()).filter(|at| cores[*at].ends_with('-')).collect();
-    let mut player = Player::new(cores.len(), ushers, seed, &absent);
+    let mut player = Player::new(cores.len(), proxies, seed, &absent);
     player.plant(breach);
     let mut replies = std::collections::BTreeMap::new();
     let start = Micros::ms(3_000);
@@ -65,7 +65,7 @@
                     .and_then(|n| n.trim_end_matches('-').parse::<usize>().ok())
                 {
                     Some(n) => core(&mut player, n - 1, &words, &mut replies),
-                    None => usher(&mut player, column, &words),
+                    None => proxy(&mut player, column, &words),
                 };
                 if let Err(why) = wrong {
                     let at = time.over(Micros::ms(1_000));
@@ -172,17 +172,17 @@
     }
 }
 
-fn usher(player: &mut Player, name: &str, words: &[&str]) -> Result<(), String> {
-    let at = player.ushers.iter().position(|u| u.name == name).ok_or("there is no such usher")?;
+fn proxy(player: &mut Player, name: &str, words: &[&str]) -> Result<(), String> {
+    let at = player.proxies.iter().position(|u| u.name == name).ok_or("there is no such proxy")?;
     let now = player.now;
     let is = |found: &str, wanted: &str| {
         if found == wanted { Ok(()) } else { Err(format!("found {found}")) }
     };
     match words {
-        ["kill"] => player.kill_usher(at),
-        ["start"] => player.start_usher(at),
-        ["cut"] => player.cut_usher(at, "*"),
-        ["cut", other] => player.cut_usher(at, other),
+        ["kill"] => player.kill_proxy(at),
+        ["start"] => player.start_proxy(at),
+        ["cut"] => player.cut_proxy(at, "*"),
+        ["cut", other] => player.cut_proxy(at, other),
         ["join"] => player.join(name),
         ["beat", instance] => player.backend(at, instance, "beat"),
         ["drain", instance] => player.backend(at, instance, "drain"),
@@ -190,7 +190,7 @@
         ["silent", instance] => player.backend(at, instance, "silent"),
         ["claim", key] => player.claim(at, key),
         ["answer", key, wanted] => {
-            let found = player.ushers[at].answers.get(*key).cloned().unwrap_or_default();
+            let found = player.proxies[at].answers.get(*key).cloned().unwrap_or_default();
             return is(&found, wanted);
         }
         ["forget"] => player.forget(false, at),
@@ -200,15 +200,15 @@
                 return Err(format!("refused {found}"));
             }
         }
-        ["sees", instance, wanted] => return is(player.ushers[at].sees(instance), wanted),
-        ["holds", wanted] => return is(&player.ushers[at].version.to_string(), wanted),
+        ["sees", instance, wanted] => return is(player.proxies[at].sees(instance), wanted),
+        ["holds", wanted] => return is(&player.proxies[at].version.to_string(), wanted),
         ["never", version] => {
-            let had = &player.ushers[at].had;
+            let had = &player.proxies[at].had;
             let version = version.parse::<u64>().map_err(|e| format!("no version: {e}"))?;
             return if had.contains(&version) { Err(format!("had {had:?}")) } else { Ok(()) };
         }
         ["draws", wanted] => {
-            let found = player.ushers[at].draws(now).join(",");
+            let found = player.proxies[at].draws(now).join(",");
             return is(&found, wanted);
         }
         _ => return Err("is no command".into()),
--- a/crates/lab/src/mesh/traffic/door.rs
+++ b/crates/lab/src/mesh/traffic/door.rs
@@ -1,4 +1,4 @@
-//! An usher beside its backend: what comes over links, the key, the door, the connection to the backend.
+//! A proxy beside its backend: what comes over links, the key, the door, the connection to the backend.
 use std::collections::BTreeMap;
 
 use bytes::Bytes;
@@ -9,9 +9,12 @@
 use notchspool_data_plane::link::only;
 use notchspool_data_plane::operation::{self, Kept};
 use notchspool_data_plane::standstill::{self, Standstill};
-use notchspool_idempotency::coats::Coats;
-use notchspool_idempotency::round::{Round, Verdict as Claimed};
-use notchspool_mesh_protocol::{Ask, Cancel, Claim, Pair, Part, Ping, Said, Ticket, Verdict, What, Withdraw};
+use notchspool_idempotency::claim_proposal::{ClaimProposal, Outcome as Claimed};
+use notchspool_idempotency::response_cache::ResponseCache;
+use notchspool_mesh_protocol::{
+    BodyChunk, Cancel, Claim, Header, Payload, Ping, Request as PeerRequest, Response as PeerResponse,
+    Ticket, Verdict, WithdrawClaim,
+};
 
 use super::Breach;
 use super::backend::Reply;
@@ -45,7 +48,7 @@
 
 struct Work {
     from: From,
-    ask: Ask,
+    ask: PeerRequest,
     until: Micros,
     /// Its claim was asked for then, and is not known to have led to anything.
     claim: Option<Micros>,
@@ -59,12 +62,12 @@
 }
 
 struct Hand {
-    round: Round,
+    round: ClaimProposal,
     until: Micros,
     purpose: Purpose,
 }
 
-pub struct Usher {
+pub struct Proxy {
     pub at: usize,
     pub life: u64,
     pub up: bool,
@@ -90,11 +93,11 @@
     pub aims: Vec<usize>,
 }
 
-impl Usher {
-    pub fn new(at: usize, life: u64, now: Micros, window: Micros) -> Usher {
+impl Proxy {
+    pub fn new(at: usize, life: u64, now: Micros, window: Micros) -> Proxy {
         let mut door = Door::open(now);
         door.slots(3);
-        Usher {
+        Proxy {
             at,
             life,
             up: true,
@@ -102,7 +105,7 @@
             number: 0,
             still: Standstill::open(now),
             knows: format!("i-{at}"),
-            coats: Coats::open(window + Micros::ms(2_000), 1 << 20),
+            coats: ResponseCache::new(window + Micros::ms(2_000), 1 << 20),
             door,
             waiting: BTreeMap::new(),
             works: BTreeMap::new(),
@@ -138,25 +141,25 @@
 }
 
 impl World {
-    pub(super) fn usher_hears(&mut self, at: usize, wire: u64, end: usize, load: Load) {
-        if self.ushers[at].conns.contains_key(&wire) {
+    pub(super) fn proxy_hears(&mut self, at: usize, wire: u64, end: usize, load: Load) {
+        if self.proxies[at].conns.contains_key(&wire) {
             return match load {
                 Load::Answer(reply) => self.answered(at, wire, reply),
                 _ => self.broke(at, wire),
             };
         }
-        if let Some(voter) = self.ushers[at].voters.iter().position(|v| *v == Some(wire)) {
+        if let Some(voter) = self.proxies[at].voters.iter().position(|v| *v == Some(wire)) {
             match load {
                 Load::Cue(what) => {
-                    let What::Claimed(claimed) = *what else { return };
+                    let Payload::ClaimReply(claimed) = *what else { return };
                     let now = self.now;
-                    if let Some(hand) = self.ushers[at].hands.get_mut(&claimed.id) {
-                        hand.round.hear(claimed);
+                    if let Some(hand) = self.proxies[at].hands.get_mut(&claimed.id) {
+                        hand.round.on_reply(claimed);
                     }
                     self.verdicts(at, now);
                 }
                 _ => {
-                    self.ushers[at].voters[voter] = None;
+                    self.proxies[at].voters[voter] = None;
                     self.close(wire, 0, false);
                 }
             }
@@ -174,7 +177,7 @@
         match load {
             Load::Cue(what) => self.carries(at, wire, *what),
             _ => {
-                let work = self.ushers[at].carried.remove(&wire);
+                let work = self.proxies[at].carried.remove(&wire);
                 if let Some(Does::AbortAll(all)) = work.map(|mut w| w.turn(Asked::Ends)) {
                     all.into_iter().for_each(|work| self.abort(at, work));
                 }
@@ -183,55 +186,55 @@
         }
     }
 
-    /// A message of another usher on a link that it opened.
-    fn carries(&mut self, at: usize, wire: u64, what: What) {
+    /// A message of another proxy on a link that it opened.
+    fn carries(&mut self, at: usize, wire: u64, what: Payload) {
         let now = self.now;
         match what {
-            What::Ask(ask) => {
+            Payload::Request(ask) => {
                 let id = ask.id;
-                match self.ushers[at].carried.entry(wire).or_default().turn(Asked::Ask(id)) {
+                match self.proxies[at].carried.entry(wire).or_default().turn(Asked::Ask(id)) {
                     Does::Begin => {}
                     Does::Full => return,
                     _ => return self.close(wire, 1, true),
                 }
-                let age = self.ushers[at].still.runs(now);
+                let age = self.proxies[at].still.runs(now);
                 let ages = self.is(Breach::Ages);
-                let ask = Ask { age_ms: if ages { 0 } else { ask.age_ms }, ..ask };
+                let ask = PeerRequest { age_ms: if ages { 0 } else { ask.age_ms }, ..ask };
                 let ask = if ages { ask } else { standstill::older(ask, age) };
-                let work = self.ushers[at].number();
-                self.ushers[at].carried.entry(wire).or_default().turn(Asked::Began(id, work));
+                let work = self.proxies[at].number();
+                self.proxies[at].carried.entry(wire).or_default().turn(Asked::Began(id, work));
                 self.perform(at, work, From::Wire(wire, id), ask);
             }
-            What::Cancel(Cancel { id }) => {
-                let does = self.ushers[at].carried.entry(wire).or_default().turn(Asked::Cancel(id));
+            Payload::Cancel(Cancel { id }) => {
+                let does = self.proxies[at].carried.entry(wire).or_default().turn(Asked::Cancel(id));
                 if let Does::Abort(work) = does {
                     self.abort(at, work);
                 }
             }
-            What::Fetch(fetch) => {
-                let said = self.held(at, &fetch.key, fetch.holder_life);
-                self.send(wire, 1, cue(What::Said(Said { id: fetch.id, ..said })));
+            Payload::FetchResponse(fetch) => {
+                let said = self.held(at, &fetch.key, fetch.holder_boot_id);
+                self.send(wire, 1, cue(Payload::Response(PeerResponse { id: fetch.id, ..said })));
             }
-            What::Ping(Ping { number }) => self.send(wire, 1, cue(What::Pong(Ping { number }))),
+            Payload::Ping(Ping { number }) => self.send(wire, 1, cue(Payload::Pong(Ping { number }))),
             _ => {}
         }
     }
 
-    pub(super) fn held(&self, at: usize, key: &str, life: u64) -> Said {
-        if life != self.ushers[at].life {
-            return only(0, Verdict::Lost, "the process that held it has ended");
+    pub(super) fn held(&self, at: usize, key: &str, life: u64) -> PeerResponse {
+        if life != self.proxies[at].life {
+            return only(0, Verdict::ResponseLost, "the process that held it has ended");
         }
-        operation::known(&self.ushers[at].coats, key)
+        operation::known(&self.proxies[at].coats, key)
     }
 
     // ---- From its arrival to its end --------------------------------------------------------------------
 
-    pub(super) fn perform(&mut self, at: usize, number: u64, from: From, ask: Ask) {
+    pub(super) fn perform(&mut self, at: usize, number: u64, from: From, ask: PeerRequest) {
         let now = self.now;
-        let until = now + Micros::ms(i64::from(ask.left_ms));
+        let until = now + Micros::ms(i64::from(ask.time_left_ms));
         let (key, ticket, age) = (ask.key.clone(), ask.ticket, Micros::ms(i64::from(ask.age_ms)));
         let work = Work { from, ask, until, claim: None, stage: Stage::Waiting(0) };
-        self.ushers[at].works.insert(number, work);
+        self.proxies[at].works.insert(number, work);
         if until - now <= MARGIN {
             return self.ends(at, number, only(0, Verdict::NotRun, "its time is over"));
         }
@@ -239,79 +242,86 @@
             return self.ends(at, number, said);
         }
         let Some(ticket) = ticket.filter(|_| !key.is_empty()) else { return self.enter(at, number) };
-        match operation::arrives(&mut self.ushers[at].coats, now, &key, age) {
+        match operation::arrives(&mut self.proxies[at].coats, now, &key, age) {
             operation::Step::Claim => {
-                if let Some(work) = self.ushers[at].works.get_mut(&number) {
+                if let Some(work) = self.proxies[at].works.get_mut(&number) {
                     work.claim = Some(now);
                 }
                 if self.is(Breach::Claims) {
                     return self.enter(at, number);
                 }
                 let hand = self.claim(at, &key, ticket, Purpose::Work(number));
-                if let Some(work) = self.ushers[at].works.get_mut(&number) {
+                if let Some(work) = self.proxies[at].works.get_mut(&number) {
                     work.stage = Stage::Claiming(hand);
                 }
                 self.verdicts(at, now);
             }
             operation::Step::Known(said) => self.ends(at, number, said),
             operation::Step::No { why, ends, .. } => {
-                self.ends(at, number, Said { ends, ..only(0, Verdict::NotRun, why) });
+                self.ends(at, number, PeerResponse { final_refusal: ends, ..only(0, Verdict::NotRun, why) });
             }
             _ => self.ends(at, number, only(0, Verdict::NotRun, "it is not claimed")),
         }
     }
 
-    fn astray(&self, at: usize, number: u64) -> Option<Said> {
-        let usher = &self.ushers[at];
-        let meant = &usher.works.get(&number)?.ask.instance;
-        (*meant != usher.knows).then(|| only(0, Verdict::Elsewhere, "another backend is here"))
+    fn astray(&self, at: usize, number: u64) -> Option<PeerResponse> {
+        let proxy = &self.proxies[at];
+        let meant = &proxy.works.get(&number)?.ask.instance;
+        (*meant != proxy.knows).then(|| only(0, Verdict::WrongInstance, "another backend is here"))
     }
 
     pub(super) fn claim(&mut self, at: usize, key: &str, ticket: Ticket, purpose: Purpose) -> u64 {
         let now = self.now;
-        let id = self.ushers[at].number();
-        let (life, wires) = (self.ushers[at].life, self.ushers[at].voters);
+        let id = self.proxies[at].number();
+        let (life, wires) = (self.proxies[at].life, self.proxies[at].voters);
         // The set of voters does not change here: the other player has that.
         let (ticket, holder) = (Some(ticket), at.to_string());
-        let claim =
-            Claim { id, key: key.into(), ticket, holder, holder_life: life, set: 1, ..Claim::default() };
+        let claim = Claim {
+            id,
+            key: key.into(),
+            ticket,
+            holder,
+            holder_boot_id: life,
+            set_number: 1,
+            ..Claim::default()
+        };
         let wires: Vec<u64> = wires.into_iter().flatten().collect();
-        wires.iter().for_each(|w| self.send(*w, 0, cue(What::Claim(claim.clone()))));
+        wires.iter().for_each(|w| self.send(*w, 0, cue(Payload::Claim(claim.clone()))));
         let until = if wires.len() > 1 { now + CLAIM } else { now };
-        self.ushers[at].hands.insert(id, Hand { round: Round::begin(1, 3), until, purpose });
+        self.proxies[at].hands.insert(id, Hand { round: ClaimProposal::new(1, 3), until, purpose });
         id
     }
 
     /// Claims that have a verdict.
     fn verdicts(&mut self, at: usize, now: Micros) {
-        let due: Vec<(u64, Claimed)> = self.ushers[at]
+        let due: Vec<(u64, Claimed)> = self.proxies[at]
             .hands
             .iter()
-            .map(|(id, hand)| (*id, hand.round.verdict(now >= hand.until)))
-            .filter(|(_, verdict)| *verdict != Claimed::Open)
+            .map(|(id, hand)| (*id, hand.round.outcome(now >= hand.until)))
+            .filter(|(_, verdict)| *verdict != Claimed::Pending)
             .collect();
         for (id, verdict) in due {
-            let Some(hand) = self.ushers[at].hands.remove(&id) else { continue };
+            let Some(hand) = self.proxies[at].hands.remove(&id) else { continue };
             match hand.purpose {
                 Purpose::Work(number) => self.claimed(at, number, verdict),
                 Purpose::Fence(attempt, serial, ticket) => {
-                    self.fenced(at, &attempt, serial, ticket, verdict == Claimed::Ours);
+                    self.fenced(at, &attempt, serial, ticket, verdict == Claimed::Granted);
                 }
             }
         }
     }
 
     fn claimed(&mut self, at: usize, number: u64, verdict: Claimed) {
-        let Some(work) = self.ushers[at].works.get(&number) else { return };
+        let Some(work) = self.proxies[at].works.get(&number) else { return };
         let ticket = work.ask.ticket.unwrap_or_default();
         match operation::claimed(ticket, verdict) {
             operation::Step::Enter => self.enter(at, number),
-            operation::Step::Held { holder, holder_life } => {
-                let said = only(0, Verdict::Held, "another has the key");
-                self.ends(at, number, Said { holder, holder_life, ..said });
+            operation::Step::Held { holder, holder_boot_id } => {
+                let said = only(0, Verdict::HeldElsewhere, "another has the key");
+                self.ends(at, number, PeerResponse { holder, holder_boot_id: holder_boot_id, ..said });
             }
             operation::Step::No { why, ends, .. } => {
-                self.ends(at, number, Said { ends, ..only(0, Verdict::NotRun, why) });
+                self.ends(at, number, PeerResponse { final_refusal: ends, ..only(0, Verdict::NotRun, why) });
             }
             _ => self.ends(at, number, only(0, Verdict::NotRun, "it is not claimed")),
         }
@@ -319,19 +329,19 @@
 
     fn enter(&mut self, at: usize, number: u64) {
         let now = self.now;
-        let usher = &mut self.ushers[at];
-        let Some(work) = usher.works.get(&number) else { return };
-        let aim = now + Micros::ms(i64::from(work.ask.aim_ms));
-        let comer = Comer { rank: 1, kind: work.ask.target_ms, aim, until: work.until };
-        let (admit, out) = usher.door.admit(now, comer);
-        if let Some(out) = out.and_then(|out| self.ushers[at].waiting.remove(&out)) {
+        let proxy = &mut self.proxies[at];
+        let Some(work) = proxy.works.get(&number) else { return };
+        let aim = now + Micros::ms(i64::from(work.ask.target_left_ms));
+        let comer = Comer { rank: 1, kind: work.ask.latency_target_ms, aim, until: work.until };
+        let (admit, out) = proxy.door.admit(now, comer);
+        if let Some(out) = out.and_then(|out| self.proxies[at].waiting.remove(&out)) {
             self.ends(at, out, only(0, Verdict::NotRun, "full"));
         }
         match admit {
             Admit::Now => self.begin(at, number),
             Admit::Wait(place) => {
-                self.ushers[at].waiting.insert(place, number);
-                if let Some(work) = self.ushers[at].works.get_mut(&number) {
+                self.proxies[at].waiting.insert(place, number);
+                if let Some(work) = self.proxies[at].works.get_mut(&number) {
                     work.stage = Stage::Waiting(place);
                 }
             }
@@ -342,15 +352,15 @@
     /// A place at the backend is free again.
     fn done(&mut self, at: usize) {
         let now = self.now;
-        let mut next = self.ushers[at].door.done(now, 0, None);
+        let mut next = self.proxies[at].door.done(now, 0, None);
         while let Some(place) = next {
-            let called = self.ushers[at].waiting.remove(&place);
+            let called = self.proxies[at].waiting.remove(&place);
             next = match called {
                 Some(number) => {
                     self.begin(at, number);
-                    self.ushers[at].door.next_one(now)
+                    self.proxies[at].door.next_one(now)
                 }
-                None => self.ushers[at].door.done(now, 0, None),
+                None => self.proxies[at].door.done(now, 0, None),
             };
         }
     }
@@ -358,16 +368,16 @@
     /// It has a place, and goes to the backend.
     fn begin(&mut self, at: usize, number: u64) {
         let (now, window) = (self.now, self.window);
-        let no = match self.ushers[at].works.get(&number) {
+        let no = match self.proxies[at].works.get(&number) {
             None => return self.done(at),
             Some(work) if work.until - now <= MARGIN => Some(only(0, Verdict::NotRun, "its time is over")),
             Some(_) => self.astray(at, number),
         };
-        let usher = &mut self.ushers[at];
-        let Some(work) = usher.works.get_mut(&number) else { return };
+        let proxy = &mut self.proxies[at];
+        let Some(work) = proxy.works.get_mut(&number) else { return };
         let granted = match work.claim {
             Some(since) if no.is_none() => {
-                operation::begins(&mut usher.coats, now, &work.ask.key, since, window)
+                operation::begins(&mut proxy.coats, now, &work.ask.key, since, window)
             }
             _ => true,
         };
@@ -376,12 +386,12 @@
             return self.done(at);
         }
         work.claim = None;
-        let (attempt, target) = (work.ask.attempt.clone(), work.ask.instance.clone());
+        let (attempt, target) = (work.ask.attempt_id.clone(), work.ask.instance.clone());
         let wire = self.connection(at, number, &attempt);
         self.send(wire, 0, Load::Begin { attempt, target });
         let large = self.luck(0.2);
         let rest = now + Micros(if large { self.below(30_000) as i64 } else { 0 });
-        if let Some(work) = self.ushers[at].works.get_mut(&number) {
+        if let Some(work) = self.proxies[at].works.get_mut(&number) {
             work.stage = Stage::Sending(wire, rest);
         }
         self.written(at, number);
@@ -390,32 +400,32 @@
     fn connection(&mut self, at: usize, number: u64, attempt: &str) -> u64 {
         let now = self.now;
         let idle: Vec<u64> =
-            self.ushers[at].conns.iter().rev().filter(|c| c.1.1.is_none()).map(|c| *c.0).collect();
+            self.proxies[at].conns.iter().rev().filter(|c| c.1.1.is_none()).map(|c| *c.0).collect();
         for wire in idle {
             let quiet = !self.arrived(wire, 0);
-            let Some((connection, open)) = self.ushers[at].conns.get_mut(&wire) else { continue };
+            let Some((connection, open)) = self.proxies[at].conns.get_mut(&wire) else { continue };
             if connection.turn(Event::Ask { now, attempt, quiet }) == Step::Go {
                 *open = Some(number);
                 return wire;
             }
-            self.ushers[at].conns.remove(&wire);
+            self.proxies[at].conns.remove(&wire);
             self.close(wire, 0, true);
         }
-        let wire = self.wire(Agent::Usher(at), Agent::Backend(at));
+        let wire = self.wire(Agent::Proxy(at), Agent::Backend(at));
         let mut connection = Connection::fresh();
         connection.turn(Event::Ask { now, attempt, quiet: true });
-        self.ushers[at].conns.insert(wire, (connection, Some(number)));
+        self.proxies[at].conns.insert(wire, (connection, Some(number)));
         wire
     }
 
     fn written(&mut self, at: usize, number: u64) {
         let now = self.now;
-        let Some(work) = self.ushers[at].works.get_mut(&number) else { return };
+        let Some(work) = self.proxies[at].works.get_mut(&number) else { return };
         if let Stage::Sending(wire, rest) = work.stage
             && rest <= now
         {
             work.stage = Stage::Sent;
-            if let Some((connection, _)) = self.ushers[at].conns.get_mut(&wire) {
+            if let Some((connection, _)) = self.proxies[at].conns.get_mut(&wire) {
                 connection.turn(Event::Written);
             }
             self.send(wire, 0, Load::Rest);
@@ -427,15 +437,15 @@
         let (ids, bare, promises) = (self.is(Breach::Ids), self.is(Breach::Bare), self.is(Breach::Promises));
         let now = self.now;
         let surplus = self.arrived(wire, 0);
-        let usher = &mut self.ushers[at];
-        let Some((connection, Some(number))) = usher.conns.get_mut(&wire) else { return };
+        let proxy = &mut self.proxies[at];
+        let Some((connection, Some(number))) = proxy.conns.get_mut(&wire) else { return };
         let number = *number;
-        let Some(work) = usher.works.get(&number) else { return };
+        let Some(work) = proxy.works.get(&number) else { return };
         if matches!(work.stage, Stage::Streaming(..)) {
             // It comes behind the answer that is passed on.
             return;
         }
-        let own = notchspool_data_plane::connection::Id::One(work.ask.attempt.clone());
+        let own = notchspool_data_plane::connection::Id::One(work.ask.attempt_id.clone());
         let missing = reply.head.id == notchspool_data_plane::connection::Id::Missing;
         if ids || (bare && missing && reply.head.not_run) {
             reply.head.id = own;
@@ -466,7 +476,7 @@
         if !reply.whole && !self.is(Breach::Bodies) {
             return self.over(at, number, Word::MayHaveRun("the body was cut short"), &reply);
         }
-        if let Some((connection, open)) = self.ushers[at].conns.get_mut(&wire)
+        if let Some((connection, open)) = self.proxies[at].conns.get_mut(&wire)
             && let Step::Keep(_) = connection.turn(Event::Whole { keep, surplus })
         {
             *open = None;
@@ -475,32 +485,34 @@
     }
 
     /// The answer as it goes on, with so many bytes of its body.
-    fn answer(reply: &Reply, bytes: u64) -> Said {
+    fn answer(reply: &Reply, bytes: u64) -> PeerResponse {
         let pair =
-            |name: &str, value: &str| Pair { name: name.into(), value: Bytes::from(value.to_string()) };
-        Said {
+            |name: &str, value: &str| Header { name: name.into(), value: Bytes::from(value.to_string()) };
+        PeerResponse {
             status: u32::from(reply.head.status),
             headers: vec![pair("id", &reply.id), pair("seal", &reply.seal)],
             body: Bytes::from(vec![b'x'; bytes as usize]),
             length: reply.bytes,
-            ..Said::default()
+            ..PeerResponse::default()
         }
     }
 
     fn broke(&mut self, at: usize, wire: u64) {
         self.close(wire, 0, true);
-        let Some((_, open)) = self.ushers[at].conns.remove(&wire) else { return };
+        let Some((_, open)) = self.proxies[at].conns.remove(&wire) else { return };
         let Some(number) = open else { return };
-        let streaming = match self.ushers[at].works.get(&number).map(|w| &w.stage) {
+        let streaming = match self.proxies[at].works.get(&number).map(|w| &w.stage) {
             Some(Stage::Streaming(_, left, _)) => Some(*left),
             _ => None,
         };
         match streaming {
             // What has come is passed on first.
             Some(_) => {}
-            None => {
-                self.over_with(at, number, Word::MayHaveRun("the backend closed").said(0, Said::default()))
-            }
+            None => self.over_with(
+                at,
+                number,
+                Word::MayHaveRun("the backend closed").said(0, PeerResponse::default()),
+            ),
         }
     }
 
@@ -510,7 +522,7 @@
         self.over_with(at, number, word.said(0, World::answer(reply, bytes)));
     }
 
-    fn over_with(&mut self, at: usize, number: u64, said: Said) {
+    fn over_with(&mut self, at: usize, number: u64, said: PeerResponse) {
         self.let_go(at, number);
         self.after(at, number, &said);
         self.done(at);
@@ -518,57 +530,57 @@
     }
 
     fn let_go(&mut self, at: usize, number: u64) {
-        let open = self.ushers[at].conns.iter().find(|c| c.1.1 == Some(number)).map(|c| *c.0);
+        let open = self.proxies[at].conns.iter().find(|c| c.1.1 == Some(number)).map(|c| *c.0);
         if let Some(wire) = open {
-            self.ushers[at].conns.remove(&wire);
+            self.proxies[at].conns.remove(&wire);
             self.close(wire, 0, true);
         }
     }
 
     /// What its key comes to.
-    fn after(&mut self, at: usize, number: u64, said: &Said) {
+    fn after(&mut self, at: usize, number: u64, said: &PeerResponse) {
         let (now, takes_back) = (self.now, self.is(Breach::TakesBack));
-        let usher = &mut self.ushers[at];
-        let Some(work) = usher.works.get(&number).filter(|w| !w.ask.key.is_empty()) else { return };
+        let proxy = &mut self.proxies[at];
+        let Some(work) = proxy.works.get(&number).filter(|w| !w.ask.key.is_empty()) else { return };
         let (key, ticket) = (work.ask.key.clone(), work.ask.ticket.unwrap_or_default());
         let may = takes_back && said.verdict() == Verdict::MayHaveRun;
         if may {
-            operation::not_begun(&mut usher.coats, now, &key);
+            operation::not_begun(&mut proxy.coats, now, &key);
         }
-        if may || operation::ended(&mut usher.coats, now, &key, said) {
+        if may || operation::ended(&mut proxy.coats, now, &key, said) {
             self.withdraw(at, &key, ticket);
         }
     }
 
     fn withdraw(&mut self, at: usize, key: &str, ticket: Ticket) {
-        let wires: Vec<u64> = self.ushers[at].voters.into_iter().flatten().collect();
+        let wires: Vec<u64> = self.proxies[at].voters.into_iter().flatten().collect();
         for wire in wires {
-            let back = Withdraw { key: key.into(), ticket: Some(ticket) };
-            self.send(wire, 0, cue(What::Withdraw(back)));
+            let back = WithdrawClaim { key: key.into(), ticket: Some(ticket) };
+            self.send(wire, 0, cue(Payload::WithdrawClaim(back)));
         }
     }
 
     /// A large answer: what has come, and the rest as it comes.
     fn streams(&mut self, at: usize, number: u64, reply: Reply) {
         let said = Word::Answered.said(0, World::answer(&reply, 1));
-        let usher = &mut self.ushers[at];
-        let wire = usher.conns.iter().find(|c| c.1.1 == Some(number)).map_or(0, |c| *c.0);
-        let Some(work) = usher.works.get_mut(&number) else { return };
+        let proxy = &mut self.proxies[at];
+        let wire = proxy.conns.iter().find(|c| c.1.1 == Some(number)).map_or(0, |c| *c.0);
+        let Some(work) = proxy.works.get_mut(&number) else { return };
         work.stage = Stage::Streaming(wire, reply.bytes - 1, reply);
         let from = work.from.clone();
         self.done(at);
-        self.tell(at, number, &from, Said { more: true, ..said });
+        self.tell(at, number, &from, PeerResponse { more: true, ..said });
     }
 
     /// One more piece of each large answer.
     fn pieces(&mut self, at: usize) {
-        let all: Vec<u64> = self.ushers[at].works.keys().copied().collect();
+        let all: Vec<u64> = self.proxies[at].works.keys().copied().collect();
         for number in all {
             if !self.luck(0.3) {
                 continue;
             }
             let (now, bodies) = (self.now, self.is(Breach::Bodies));
-            let Some(work) = self.ushers[at].works.get_mut(&number) else { continue };
+            let Some(work) = self.proxies[at].works.get_mut(&number) else { continue };
             let from = work.from.clone();
             let Stage::Streaming(wire, left, reply) = &mut work.stage else { continue };
             let wire = *wire;
@@ -582,7 +594,7 @@
             }
             self.part(at, &from, 0, true, broken && !bodies);
             let surplus = self.arrived(wire, 0);
-            if let Some((connection, open)) = self.ushers[at].conns.get_mut(&wire)
+            if let Some((connection, open)) = self.proxies[at].conns.get_mut(&wire)
                 && !broken
                 && let Step::Keep(_) = connection.turn(Event::Whole { keep, surplus })
             {
@@ -597,8 +609,8 @@
         match from {
             From::Wire(wire, id) => {
                 let bytes = Bytes::from(vec![b'x'; bytes]);
-                let part = Part { id: *id, bytes, last, broken };
-                self.send(*wire, 1, cue(What::Part(part)));
+                let part = BodyChunk { id: *id, bytes, last, truncated: broken };
+                self.send(*wire, 1, cue(Payload::BodyChunk(part)));
             }
             From::Here(attempt, serial) => self.piece(at, attempt, *serial, bytes as u64, last, broken),
             From::Nobody => {}
@@ -608,17 +620,17 @@
     // ---- Its end ----------------------------------------------------------------------------------------
 
     /// It did not begin, or is done: its answer goes to who asked. A claim that led to nothing is taken back.
-    fn ends(&mut self, at: usize, number: u64, said: Said) {
-        let Some(from) = self.ushers[at].works.get(&number).map(|w| w.from.clone()) else { return };
+    fn ends(&mut self, at: usize, number: u64, said: PeerResponse) {
+        let Some(from) = self.proxies[at].works.get(&number).map(|w| w.from.clone()) else { return };
         self.back(at, number);
         self.finished(at, number, &from);
         self.tell(at, number, &from, said);
     }
 
     fn finished(&mut self, at: usize, number: u64, from: &From) {
-        self.ushers[at].works.remove(&number);
+        self.proxies[at].works.remove(&number);
         if let From::Wire(wire, id) = from
-            && let Some(open) = self.ushers[at].carried.get_mut(wire)
+            && let Some(open) = self.proxies[at].carried.get_mut(wire)
         {
             open.turn(Asked::Done(*id));
         }
@@ -626,27 +638,27 @@
 
     fn back(&mut self, at: usize, number: u64) {
         let now = self.now;
-        let usher = &mut self.ushers[at];
-        let Some(work) = usher.works.get_mut(&number) else { return };
+        let proxy = &mut self.proxies[at];
+        let Some(work) = proxy.works.get_mut(&number) else { return };
         if work.claim.take().is_some() {
             let (key, ticket) = (work.ask.key.clone(), work.ask.ticket.unwrap_or_default());
-            operation::not_begun(&mut usher.coats, now, &key);
+            operation::not_begun(&mut proxy.coats, now, &key);
             self.withdraw(at, &key, ticket);
         }
     }
 
-    fn tell(&mut self, at: usize, _: u64, from: &From, said: Said) {
+    fn tell(&mut self, at: usize, _: u64, from: &From, said: PeerResponse) {
         match from {
             From::Wire(wire, id) => {
                 let mut to = *wire;
                 if self.is(Breach::Lives)
                     && let Some(asker) = self.wires.get(wire).map(|w| w.ends[0]).or(self.asker(at, *wire))
                 {
-                    let ends = [asker, Agent::Usher(at)];
+                    let ends = [asker, Agent::Proxy(at)];
                     let newest = self.wires.iter().rev().find(|w| w.1.ends == ends && !w.1.gone[0]);
                     to = newest.map_or(to, |w| *w.0);
                 }
-                self.send(to, 1, cue(What::Said(Said { id: *id, ..said })));
+                self.send(to, 1, cue(Payload::Response(PeerResponse { id: *id, ..said })));
             }
             From::Here(attempt, serial) => self.came(at, attempt, *serial, said),
             From::Nobody => {}
@@ -659,7 +671,7 @@
         self.wires
             .values()
             .rev()
-            .find(|w| w.ends[1] == Agent::Usher(at) && matches!(w.ends[0], Agent::Usher(_)))
+            .find(|w| w.ends[1] == Agent::Proxy(at) && matches!(w.ends[0], Agent::Proxy(_)))
             .map(|w| w.ends[0])
     }
 
@@ -667,16 +679,16 @@
     pub(super) fn abort(&mut self, at: usize, number: u64) {
         let now = self.now;
         let lives = self.is(Breach::Lives);
-        let Some(work) = self.ushers[at].works.get_mut(&number) else { return };
+        let Some(work) = self.proxies[at].works.get_mut(&number) else { return };
         match &work.stage {
             Stage::Claiming(hand) => {
                 let hand = *hand;
-                self.ushers[at].hands.remove(&hand);
+                self.proxies[at].hands.remove(&hand);
             }
             Stage::Waiting(place) => {
                 let place = *place;
-                if self.ushers[at].waiting.remove(&place).is_some() {
-                    self.ushers[at].door.left(now, place);
+                if self.proxies[at].waiting.remove(&place).is_some() {
+                    self.proxies[at].door.left(now, place);
                 }
             }
             Stage::Sending(..) | Stage::Sent => {
@@ -694,31 +706,31 @@
             Stage::Streaming(..) => self.let_go(at, number),
         }
         self.back(at, number);
-        self.ushers[at].works.remove(&number);
+        self.proxies[at].works.remove(&number);
     }
 
     /// What is due here.
-    pub(super) fn usher_wakes(&mut self, at: usize) {
-        if !self.ushers[at].up || self.ushers[at].frozen {
+    pub(super) fn proxy_wakes(&mut self, at: usize) {
+        if !self.proxies[at].up || self.proxies[at].frozen {
             return;
         }
         let now = self.now;
         self.verdicts(at, now);
-        let all: Vec<u64> = self.ushers[at].works.keys().copied().collect();
+        let all: Vec<u64> = self.proxies[at].works.keys().copied().collect();
         for number in all {
             self.written(at, number);
-            let Some(work) = self.ushers[at].works.get(&number) else { continue };
+            let Some(work) = self.proxies[at].works.get(&number) else { continue };
             if now < work.until {
                 continue;
             }
             match work.stage {
                 Stage::Sending(..) | Stage::Sent => {
-                    let said = Word::MayHaveRun("no answer in time").said(0, Said::default());
+                    let said = Word::MayHaveRun("no answer in time").said(0, PeerResponse::default());
                     self.over_with(at, number, said);
                 }
                 Stage::Waiting(place) => {
-                    self.ushers[at].waiting.remove(&place);
-                    self.ushers[at].door.left(now, place);
+                    self.proxies[at].waiting.remove(&place);
+                    self.proxies[at].door.left(now, place);
                     self.ends(at, number, only(0, Verdict::NotRun, "full"));
                 }
                 Stage::Streaming(..) => {
@@ -733,15 +745,15 @@
         self.pieces(at);
         self.lobby_wakes(at);
         if (now.0 / 1_000) % 100 == 0 {
-            self.ushers[at].still.runs(now);
+            self.proxies[at].still.runs(now);
             self.looks(at);
-            let (usher, instance) = (&mut self.ushers[at], self.backends[at].instance.clone());
-            usher.coats.wake(now);
-            usher.knows = instance;
+            let (proxy, instance) = (&mut self.proxies[at], self.backends[at].instance.clone());
+            proxy.coats.tick(now);
+            proxy.knows = instance;
             let past: Vec<u64> =
-                usher.conns.iter().filter(|c| c.1.1.is_none() && c.1.0.past(now)).map(|c| *c.0).collect();
+                proxy.conns.iter().filter(|c| c.1.1.is_none() && c.1.0.past(now)).map(|c| *c.0).collect();
             for wire in past {
-                self.ushers[at].conns.remove(&wire);
+                self.proxies[at].conns.remove(&wire);
                 self.close(wire, 0, false);
             }
         }
@@ -749,13 +761,13 @@
 
     /// Voters that are up are connected with again.
     pub(super) fn voters_again(&mut self, at: usize) {
-        if !self.ushers[at].up || self.ushers[at].frozen {
+        if !self.proxies[at].up || self.proxies[at].frozen {
             return;
         }
         for voter in 0..3 {
-            if self.ushers[at].voters[voter].is_none() && self.voters[voter].up {
-                let id = self.wire(Agent::Usher(at), Agent::Voter(voter));
-                self.ushers[at].voters[voter] = Some(id);
+            if self.proxies[at].voters[voter].is_none() && self.voters[voter].up {
+                let id = self.wire(Agent::Proxy(at), Agent::Voter(voter));
+                self.proxies[at].voters[voter] = Some(id);
             }
         }
     }
--- a/crates/lab/src/mesh/traffic/drawn.rs
+++ b/crates/lab/src/mesh/traffic/drawn.rs
@@ -7,7 +7,7 @@
 use super::world::{Agent, World};
 use super::{Breach, Rule};
 
-const USHERS: usize = 3;
+const PROXIES: usize = 3;
 const WINDOW: Micros = Micros::ms(4_000);
 
 /// What one drawn day came to.
@@ -20,9 +20,9 @@
     pub runs: usize,
 }
 
-/// Ten seconds of requests at three ushers with trouble of every kind, then healed and judged.
+/// Ten seconds of requests at three proxies with trouble of every kind, then healed and judged.
 pub fn drawn(seed: u64, breach: Option<Breach>) -> Day {
-    let mut world = World::new(USHERS, seed, WINDOW, breach);
+    let mut world = World::new(PROXIES, seed, WINDOW, breach);
     let mut chance = Rand64::new(u128::from(seed) * 31 + 7);
     let mut below = |n: u64| ((chance.rand_float() * n as f64) as u64).min(n - 1);
     world.play(Micros::ms(300));
@@ -35,8 +35,8 @@
         let (due, later): (Vec<_>, Vec<_>) = back.into_iter().partition(|b| b.0 <= now);
         back = later;
         due.into_iter().for_each(|(_, undo)| undo.does(&mut world));
-        let at = below(USHERS as u64) as usize;
-        let other = (at + 1 + below(USHERS as u64 - 1) as usize) % USHERS;
+        let at = below(PROXIES as u64) as usize;
+        let other = (at + 1 + below(PROXIES as u64 - 1) as usize) % PROXIES;
         let span = now + Micros::ms(50 + below(3_000) as i64);
         match below(80) {
             0..=64 => {
@@ -60,16 +60,16 @@
                 back.push((span, Undo::Mood(at)));
             }
             68 => world.replace(at),
-            69 => world.reset(Agent::Usher(at), Agent::Usher(other)),
-            70 => world.reset(Agent::Usher(at), Agent::Backend(at)),
+            69 => world.reset(Agent::Proxy(at), Agent::Proxy(other)),
+            70 => world.reset(Agent::Proxy(at), Agent::Backend(at)),
             71..=72 => {
-                world.cuts.insert((Agent::Usher(at), Agent::Usher(other)));
-                back.push((span, Undo::Join(Agent::Usher(at), Agent::Usher(other))));
+                world.cuts.insert((Agent::Proxy(at), Agent::Proxy(other)));
+                back.push((span, Undo::Join(Agent::Proxy(at), Agent::Proxy(other))));
             }
             73 => {
                 let voter = below(3) as usize;
-                world.cuts.insert((Agent::Usher(at), Agent::Voter(voter)));
-                back.push((span, Undo::Join(Agent::Usher(at), Agent::Voter(voter))));
+                world.cuts.insert((Agent::Proxy(at), Agent::Voter(voter)));
+                back.push((span, Undo::Join(Agent::Proxy(at), Agent::Voter(voter))));
             }
             74 => {
                 world.slow = Micros::ms(2 + below(250) as i64);
--- a/crates/lab/src/mesh/traffic/judge.rs
+++ b/crates/lab/src/mesh/traffic/judge.rs
@@ -25,8 +25,8 @@
     pub kind: Kind,
     pub sent: Micros,
     pub until: Micros,
-    pub usher: usize,
-    /// The life of the usher that took it.
+    pub proxy: usize,
+    /// The life of the proxy that took it.
     pub life: u64,
     pub got: Option<Got>,
     /// It left, or the connection broke.
@@ -63,7 +63,7 @@
     pub wrong: Vec<(Rule, String)>,
 }
 
-/// A backend's own word that it has not run, and an usher's.
+/// A backend's own word that it has not run, and a proxy's.
 const PROMISES: [u32; 4] = [408, 421, 429, 503];
 
 impl Judge {
--- a/crates/lab/src/mesh/traffic/lobby.rs
+++ b/crates/lab/src/mesh/traffic/lobby.rs
@@ -1,11 +1,13 @@
-//! An usher where requests begin: what they are told, and the links to other ushers.
+//! A proxy where requests begin: what they are told, and the links to other proxies.
 use notchspool::units::Micros;
 use notchspool_data_plane::attempts::{Attempts, Event, Next, Terms};
 use notchspool_data_plane::exchange::{Asking, Event as Heard, LONGEST, Step};
 use notchspool_data_plane::link::only;
 use notchspool_data_plane::operation::NOT_HERE;
 use notchspool_data_plane::standstill::FROZEN;
-use notchspool_mesh_protocol::{Ask, Cancel, Fetch, Ping, Said, Ticket, Verdict, What};
+use notchspool_mesh_protocol::{
+    Cancel, FetchResponse, Payload, Ping, Request as PeerRequest, Response as PeerResponse, Ticket, Verdict,
+};
 
 use super::Breach;
 use super::door::{From, Purpose};
@@ -21,7 +23,7 @@
 pub struct Asker {
     asking: Asking<Wait, Wait>,
     /// What waits for the link to be there.
-    pending: Option<Vec<What>>,
+    pending: Option<Vec<Payload>>,
     reads: u64,
 }
 
@@ -45,10 +47,10 @@
     attempts: Attempts,
     stage: Stage,
     serial: u64,
-    failed: Option<Said>,
+    failed: Option<PeerResponse>,
 }
 
-fn header(said: &Said, name: &str) -> String {
+fn header(said: &PeerResponse, name: &str) -> String {
     let found = said.headers.iter().find(|p| p.name == name);
     found.map_or_else(String::new, |p| String::from_utf8_lossy(&p.value).into_owned())
 }
@@ -56,13 +58,13 @@
 impl World {
     pub(super) fn lobby_wakes(&mut self, at: usize) {
         let now = self.now;
-        for attempt in std::mem::take(&mut self.ushers[at].leavers) {
+        for attempt in std::mem::take(&mut self.proxies[at].leavers) {
             self.drop_request(at, &attempt);
         }
-        for attempt in std::mem::take(&mut self.ushers[at].inbox) {
+        for attempt in std::mem::take(&mut self.proxies[at].inbox) {
             self.takes(at, &attempt);
         }
-        let due: Vec<String> = self.ushers[at]
+        let due: Vec<String> = self.proxies[at]
             .requests
             .iter()
             .filter(|(_, r)| {
@@ -71,8 +73,8 @@
             .map(|r| r.0.clone())
             .collect();
         for attempt in due {
-            let fetching = matches!(self.ushers[at].requests[&attempt].stage, Stage::Fetching(..));
-            let serial = self.ushers[at].requests[&attempt].serial;
+            let fetching = matches!(self.proxies[at].requests[&attempt].stage, Stage::Fetching(..));
+            let serial = self.proxies[at].requests[&attempt].serial;
             self.give_up(at, &attempt);
             if fetching {
                 self.answers(at, &attempt, 504, None);
@@ -85,12 +87,12 @@
     /// A client's request is read.
     fn takes(&mut self, at: usize, attempt: &str) {
         let now = self.now;
-        let age = self.ushers[at].still.runs(now);
+        let age = self.proxies[at].still.runs(now);
         let Some(client) = self.judge.clients.get(attempt).filter(|c| !c.gone) else { return };
         let (kind, left) = (client.kind.clone(), client.until - client.sent);
-        let usher = &mut self.ushers[at];
-        let number = usher.number();
-        let ticket = Ticket { life: usher.life, number, turn: 0 };
+        let proxy = &mut self.proxies[at];
+        let number = proxy.number();
+        let ticket = Ticket { boot_id: proxy.life, number, attempt: 0 };
         let key = if let Kind::Keyed(key) = &kind { key.clone() } else { String::new() };
         let began = now - age;
         let until = if age >= FROZEN { began } else { now } + left;
@@ -111,22 +113,22 @@
             serial: 0,
             failed: None,
         };
-        self.ushers[at].requests.insert(attempt.into(), request);
+        self.proxies[at].requests.insert(attempt.into(), request);
         self.goes(at, attempt);
     }
 
     /// It goes to some backend, or nowhere.
     fn goes(&mut self, at: usize, attempt: &str) {
         let now = self.now;
-        let aims = &self.ushers[at].aims;
-        let nth = self.ushers[at].requests.get(attempt).map_or(0, |r| r.attempts.posted() as usize);
+        let aims = &self.proxies[at].aims;
+        let nth = self.proxies[at].requests.get(attempt).map_or(0, |r| r.attempts.posted() as usize);
         let aim = aims.get(nth.min(aims.len().saturating_sub(1))).copied();
         let nobody = aim.is_none() && self.luck(0.05);
-        let anywhere = self.below(self.ushers.len() as u64) as usize;
+        let anywhere = self.below(self.proxies.len() as u64) as usize;
         let to = aim.unwrap_or(anywhere);
-        let instance = self.ushers[to].knows.clone();
+        let instance = self.proxies[to].knows.clone();
         let ages = self.is(Breach::Ages);
-        let Some(request) = self.ushers[at].requests.get_mut(attempt) else { return };
+        let Some(request) = self.proxies[at].requests.get_mut(attempt) else { return };
         let event = if nobody { Event::Nobody } else { Event::Post };
         let ticket = match request.attempts.turn(now, event, &|| true) {
             Next::Send(_, ticket) => ticket,
@@ -140,36 +142,36 @@
         request.failed = None;
         request.serial += 1;
         let (serial, key, until, began) = (request.serial, request.key.clone(), request.until, request.began);
-        let id = self.ushers[at].number();
-        let ask = Ask {
+        let id = self.proxies[at].number();
+        let ask = PeerRequest {
             id,
             instance,
-            left_ms: ((until - now).0 / 1_000).clamp(1, 600_000) as u32,
-            target_ms: 200,
-            aim_ms: 600,
+            time_left_ms: ((until - now).0 / 1_000).clamp(1, 600_000) as u32,
+            latency_target_ms: 200,
+            target_left_ms: 600,
             key,
             ticket,
-            attempt: attempt.into(),
+            attempt_id: attempt.into(),
             age_ms: if ages { 0 } else { ((now - began).0 / 1_000).clamp(0, 600_000) as u32 },
-            ..Ask::default()
+            ..PeerRequest::default()
         };
         if to == at {
             self.stage(at, attempt, Stage::Here(id));
             return self.perform(at, id, From::Here(attempt.into(), serial), ask);
         }
-        let wire = self.asks(at, to, id, (attempt.into(), serial), What::Ask(ask));
+        let wire = self.asks(at, to, id, (attempt.into(), serial), Payload::Request(ask));
         self.stage_if(at, attempt, serial, Stage::Out(wire, id));
     }
 
     fn stage(&mut self, at: usize, attempt: &str, stage: Stage) {
-        if let Some(request) = self.ushers[at].requests.get_mut(attempt) {
+        if let Some(request) = self.proxies[at].requests.get_mut(attempt) {
             request.stage = stage;
         }
     }
 
     /// Where it was not answered at once.
     fn stage_if(&mut self, at: usize, attempt: &str, serial: u64, stage: Stage) {
-        if let Some(request) = self.ushers[at].requests.get_mut(attempt).filter(|r| r.serial == serial)
+        if let Some(request) = self.proxies[at].requests.get_mut(attempt).filter(|r| r.serial == serial)
             && matches!(request.stage, Stage::Idle)
         {
             request.stage = stage;
@@ -177,11 +179,11 @@
     }
 
     /// That came of a try.
-    pub(super) fn came(&mut self, at: usize, attempt: &str, serial: u64, said: Said) {
+    pub(super) fn came(&mut self, at: usize, attempt: &str, serial: u64, said: PeerResponse) {
         let now = self.now;
-        let spends = self.luck(0.8) || !self.ushers[at].aims.is_empty();
+        let spends = self.luck(0.8) || !self.proxies[at].aims.is_empty();
         let (fences, links) = (self.is(Breach::Fences), self.is(Breach::Links));
-        let Some(request) = self.ushers[at].requests.get_mut(attempt).filter(|r| r.serial == serial) else {
+        let Some(request) = self.proxies[at].requests.get_mut(attempt).filter(|r| r.serial == serial) else {
             return;
         };
         if let Stage::Fetching(..) = request.stage {
@@ -193,17 +195,18 @@
         };
         request.stage = Stage::Idle;
         let said = match said.verdict() {
-            Verdict::MayHaveRun if links && said.why == "the link ended" => {
+            Verdict::MayHaveRun if links && said.reason == "the link ended" => {
                 only(0, Verdict::NotRun, "the link ended")
             }
             _ => said,
         };
         match request.attempts.turn(now, Event::Came(&said), &|| spends) {
             Next::Fence => {
-                let life = self.ushers[at].life;
-                let number = self.ushers[at].number();
-                let Some(request) = self.ushers[at].requests.get_mut(attempt) else { return };
-                let fence = Ticket { life, number, turn: request.attempts.posted().saturating_sub(1) };
+                let life = self.proxies[at].life;
+                let number = self.proxies[at].number();
+                let Some(request) = self.proxies[at].requests.get_mut(attempt) else { return };
+                let fence =
+                    Ticket { boot_id: life, number, attempt: request.attempts.posted().saturating_sub(1) };
                 let key = request.key.clone();
                 request.stage = Stage::Fencing;
                 if fences {
@@ -235,7 +238,7 @@
 
     pub(super) fn fenced(&mut self, at: usize, attempt: &str, serial: u64, ticket: Ticket, granted: bool) {
         let now = self.now;
-        let Some(request) = self.ushers[at].requests.get_mut(attempt).filter(|r| r.serial == serial) else {
+        let Some(request) = self.proxies[at].requests.get_mut(attempt).filter(|r| r.serial == serial) else {
             return;
         };
         request.stage = Stage::Idle;
@@ -245,30 +248,30 @@
         }
     }
 
-    fn fetches(&mut self, at: usize, attempt: &str, held: &Said) {
-        let Some(request) = self.ushers[at].requests.get_mut(attempt) else { return };
+    fn fetches(&mut self, at: usize, attempt: &str, held: &PeerResponse) {
+        let Some(request) = self.proxies[at].requests.get_mut(attempt) else { return };
         let (key, serial) = (request.key.clone(), request.serial);
         let holder: usize = held.holder.parse().unwrap_or(0);
-        let id = self.ushers[at].number();
+        let id = self.proxies[at].number();
         if holder == at {
-            let said = self.held(at, &key, held.holder_life);
+            let said = self.held(at, &key, held.holder_boot_id);
             return self.fetched(at, attempt, said);
         }
-        let fetch = Fetch { id, key, holder_life: held.holder_life };
+        let fetch = FetchResponse { id, key, holder_boot_id: held.holder_boot_id };
         self.stage(at, attempt, Stage::Fetching(0, id));
-        let wire = self.asks(at, holder, id, (attempt.into(), serial), What::Fetch(fetch));
-        if let Some(request) = self.ushers[at].requests.get_mut(attempt)
+        let wire = self.asks(at, holder, id, (attempt.into(), serial), Payload::FetchResponse(fetch));
+        if let Some(request) = self.proxies[at].requests.get_mut(attempt)
             && let Stage::Fetching(0, _) = request.stage
         {
             request.stage = Stage::Fetching(wire, id);
         }
     }
 
-    fn fetched(&mut self, at: usize, attempt: &str, said: Said) {
+    fn fetched(&mut self, at: usize, attempt: &str, said: PeerResponse) {
         match said.verdict() {
             Verdict::Answered => self.relays(at, attempt, said),
-            Verdict::Working => self.answers(at, attempt, 409, None),
-            Verdict::NotRun if said.why == NOT_HERE => self.answers(at, attempt, 503, None),
+            Verdict::InProgress => self.answers(at, attempt, 409, None),
+            Verdict::NotRun if said.reason == NOT_HERE => self.answers(at, attempt, 503, None),
             _ => self.answers(at, attempt, 502, None),
         }
     }
@@ -283,7 +286,7 @@
         self.answers(at, attempt, status, None);
     }
 
-    fn relays(&mut self, at: usize, attempt: &str, said: Said) {
+    fn relays(&mut self, at: usize, attempt: &str, said: PeerResponse) {
         let got = Got {
             status: said.status,
             id: attempt.into(),
@@ -294,7 +297,7 @@
     }
 
     fn answers(&mut self, at: usize, attempt: &str, status: u32, got: Option<Got>) {
-        self.ushers[at].requests.remove(attempt);
+        self.proxies[at].requests.remove(attempt);
         if let Some(client) = self.judge.clients.get_mut(attempt).filter(|c| !c.gone) {
             let own = Got { status, id: attempt.into(), seal: String::new(), bytes: 0 };
             client.got = Some(got.unwrap_or(own));
@@ -311,13 +314,13 @@
         last: bool,
         broken: bool,
     ) {
-        let Some(request) = self.ushers[at].requests.get_mut(attempt).filter(|r| r.serial == serial) else {
+        let Some(request) = self.proxies[at].requests.get_mut(attempt).filter(|r| r.serial == serial) else {
             return;
         };
         let Stage::Streaming(_, got) = &mut request.stage else { return };
         got.bytes += bytes;
         if broken {
-            self.ushers[at].requests.remove(attempt);
+            self.proxies[at].requests.remove(attempt);
             if let Some(client) = self.judge.clients.get_mut(attempt) {
                 client.gone = true;
             }
@@ -330,7 +333,7 @@
     /// It is not waited for any more: whoever has it is told.
     fn give_up(&mut self, at: usize, attempt: &str) {
         let now = self.now;
-        let Some(request) = self.ushers[at].requests.get_mut(attempt) else { return };
+        let Some(request) = self.proxies[at].requests.get_mut(attempt) else { return };
         match std::mem::replace(&mut request.stage, Stage::Idle) {
             Stage::Out(wire, id) | Stage::Fetching(wire, id) | Stage::Streaming(Some((wire, id)), _) => {
                 self.turn(at, wire, now, Heard::GiveUp(id));
@@ -342,23 +345,23 @@
 
     fn drop_request(&mut self, at: usize, attempt: &str) {
         self.give_up(at, attempt);
-        self.ushers[at].requests.remove(attempt);
+        self.proxies[at].requests.remove(attempt);
     }
 
     // ---- Links ------------------------------------------------------------------------------------------
 
-    fn asks(&mut self, at: usize, to: usize, id: u64, wait: Wait, what: What) -> u64 {
+    fn asks(&mut self, at: usize, to: usize, id: u64, wait: Wait, what: Payload) -> u64 {
         let now = self.now;
-        let known = self.ushers[at].links.get(&to).copied();
-        let open = known.filter(|w| self.ushers[at].askers.get(w).is_some_and(|a| a.asking.takes()));
+        let known = self.proxies[at].links.get(&to).copied();
+        let open = known.filter(|w| self.proxies[at].askers.get(w).is_some_and(|a| a.asking.takes()));
         let wire = open.unwrap_or_else(|| {
             let wire = self.dial(at, to);
             let asker = Asker { asking: Asking::open(now), pending: Some(Vec::new()), reads: 0 };
-            self.ushers[at].links.insert(to, wire);
-            self.ushers[at].askers.insert(wire, asker);
+            self.proxies[at].links.insert(to, wire);
+            self.proxies[at].askers.insert(wire, asker);
             wire
         });
-        let Some(asker) = self.ushers[at].askers.get_mut(&wire) else { return wire };
+        let Some(asker) = self.proxies[at].askers.get_mut(&wire) else { return wire };
         match asker.asking.turn(now, Heard::Ask(id, wait)) {
             Step::Send => match &mut asker.pending {
                 Some(pending) => pending.push(what),
@@ -375,7 +378,7 @@
     pub(super) fn link_up(&mut self, at: usize, wire: u64) {
         let now = self.now;
         self.turn(at, wire, now, Heard::Up);
-        let pending = self.ushers[at].askers.get_mut(&wire).and_then(|a| a.pending.take());
+        let pending = self.proxies[at].askers.get_mut(&wire).and_then(|a| a.pending.take());
         for what in pending.unwrap_or_default() {
             self.send(wire, 0, cue(what));
         }
@@ -386,15 +389,15 @@
         self.turn(at, wire, now, Heard::Ends);
     }
 
-    pub(super) fn link_hears(&mut self, at: usize, wire: u64, what: What) {
+    pub(super) fn link_hears(&mut self, at: usize, wire: u64, what: Payload) {
         let now = self.now;
-        if let Some(asker) = self.ushers[at].askers.get_mut(&wire) {
+        if let Some(asker) = self.proxies[at].askers.get_mut(&wire) {
             asker.reads += 1;
         }
         match what {
-            What::Said(said) => {
+            Payload::Response(said) => {
                 let id = said.id;
-                let Some(asker) = self.ushers[at].askers.get_mut(&wire) else { return };
+                let Some(asker) = self.proxies[at].askers.get_mut(&wire) else { return };
                 // Who it is for is known by the id alone.
                 let step = asker.asking.turn(now, Heard::Said(id, said.more.then(|| (String::new(), id))));
                 match step {
@@ -403,24 +406,24 @@
                     _ => {}
                 }
             }
-            What::Part(part) => {
-                let Some(asker) = self.ushers[at].askers.get_mut(&wire) else { return };
+            Payload::BodyChunk(part) => {
+                let Some(asker) = self.proxies[at].askers.get_mut(&wire) else { return };
                 match asker.asking.turn(now, Heard::Part { id: part.id, last: part.last }) {
                     Step::Pass((_, id)) => {
-                        let to = self.ushers[at].requests.iter().find_map(|(attempt, r)| {
+                        let to = self.proxies[at].requests.iter().find_map(|(attempt, r)| {
                             matches!(r.stage, Stage::Streaming(Some((w, i)), _) if (w, i) == (wire, id))
                                 .then(|| (attempt.clone(), r.serial))
                         });
                         if let Some((attempt, serial)) = to {
                             let bytes = part.bytes.len() as u64;
-                            self.piece(at, &attempt, serial, bytes, part.last, part.broken);
+                            self.piece(at, &attempt, serial, bytes, part.last, part.truncated);
                         }
                     }
                     Step::Cut(_) => self.cuts_link(at, wire),
                     _ => {}
                 }
             }
-            What::Pong(pong) => self.turn(at, wire, now, Heard::Pong(pong.number)),
+            Payload::Pong(pong) => self.turn(at, wire, now, Heard::Pong(pong.number)),
             _ => {}
         }
     }
@@ -432,23 +435,23 @@
 
     fn turn(&mut self, at: usize, wire: u64, now: Micros, event: Heard<Wait, Wait>) {
         let id = if let Heard::GiveUp(id) = &event { *id } else { 0 };
-        let Some(asker) = self.ushers[at].askers.get_mut(&wire) else { return };
+        let Some(asker) = self.proxies[at].askers.get_mut(&wire) else { return };
         let up = asker.pending.is_none();
         match asker.asking.turn(now, event) {
             Step::Cancel => match &mut asker.pending {
-                Some(pending) => pending.push(What::Cancel(Cancel { id })),
-                None => self.send(wire, 0, cue(What::Cancel(Cancel { id }))),
+                Some(pending) => pending.push(Payload::Cancel(Cancel { id })),
+                None => self.send(wire, 0, cue(Payload::Cancel(Cancel { id }))),
             },
-            Step::Ping(number) if up => self.send(wire, 0, cue(What::Ping(Ping { number }))),
+            Step::Ping(number) if up => self.send(wire, 0, cue(Payload::Ping(Ping { number }))),
             Step::Finish => {
                 self.close(wire, 0, false);
                 self.link_ends(at, wire);
             }
             Step::Cut(_) => self.cuts_link(at, wire),
             Step::Ended(verdict, waiters, streams) => {
-                self.ushers[at].askers.remove(&wire);
-                self.ushers[at].links.retain(|_, w| *w != wire);
-                let broken: Vec<(String, u64)> = self.ushers[at]
+                self.proxies[at].askers.remove(&wire);
+                self.proxies[at].links.retain(|_, w| *w != wire);
+                let broken: Vec<(String, u64)> = self.proxies[at]
                     .requests
                     .iter()
                     .filter(|(_, r)| {
@@ -470,7 +473,7 @@
 
     pub(super) fn looks(&mut self, at: usize) {
         let now = self.now;
-        let all: Vec<(u64, u64)> = self.ushers[at].askers.iter().map(|a| (*a.0, a.1.reads)).collect();
+        let all: Vec<(u64, u64)> = self.proxies[at].askers.iter().map(|a| (*a.0, a.1.reads)).collect();
         for (wire, reads) in all {
             self.turn(at, wire, now, Heard::Look { reads, lost: LOST.min(LONGEST) });
         }
--- a/crates/lab/src/mesh/traffic/mod.rs
+++ b/crates/lab/src/mesh/traffic/mod.rs
@@ -1,6 +1,6 @@
-//! The data plane in virtual time: ushers with their real decisions (`notchspool_data_plane`: attempts, exchange, operation, door, connection,
+//! The data plane in virtual time: proxies with their real decisions (`notchspool_data_plane`: attempts, exchange, operation, door, connection,
 //! standstill; voters with their real racks), links that are cut, reset, delayed and reordered across connections, backends that answer
-//! late, twice, partly, with garbled ids or not at all, ushers that are killed, started, frozen and woken. `judge` holds what clients and
+//! late, twice, partly, with garbled ids or not at all, proxies that are killed, started, frozen and woken. `judge` holds what clients and
 //! backends saw against what was promised.
 mod backend;
 mod door;
--- a/crates/lab/src/mesh/traffic/script.rs
+++ b/crates/lab/src/mesh/traffic/script.rs
@@ -1,4 +1,4 @@
-//! Timelines of traffic, drawn as text as those of the mesh are: one column an agent, `usher-a`, `backend-a` (beside it), `core-1`.
+//! Timelines of traffic, drawn as text as those of the mesh are: one column an agent, `proxy-a`, `backend-a` (beside it), `core-1`.
 use notchspool::units::Micros;
 
 use super::backend::Mood;
@@ -14,8 +14,8 @@
 
 /// Plays a timeline of traffic, heals all, and gives what was not as it has to be.
 pub fn play_traffic(timeline: &Timeline, seed: u64, breach: Option<Breach>) -> Vec<(Option<Rule>, String)> {
-    let ushers = timeline.columns().iter().filter(|c| c.starts_with("usher-")).count();
-    let mut world = World::new(ushers, seed, WINDOW, breach);
+    let proxies = timeline.columns().iter().filter(|c| c.starts_with("proxy-")).count();
+    let mut world = World::new(proxies, seed, WINDOW, breach);
     world.play(Micros::ms(1_000));
     let mut wrong = Vec::new();
     for (time, row) in timeline.rows() {
@@ -40,7 +40,7 @@
     let letter = which.bytes().next().unwrap_or(0);
     let at = usize::from(letter.wrapping_sub(if kind == "core" { b'1' } else { b'a' }));
     match kind {
-        "usher" if at < world.ushers.len() => Ok(Agent::Usher(at)),
+        "proxy" if at < world.proxies.len() => Ok(Agent::Proxy(at)),
         "backend" if at < world.backends.len() => Ok(Agent::Backend(at)),
         "core" if at < 3 => Ok(Agent::Voter(at)),
         _ => Err(format!("there is no {name}")),
@@ -49,7 +49,7 @@
 
 fn agent(world: &mut World, name: &str, words: &[&str]) -> Result<(), String> {
     match place(world, name)? {
-        Agent::Usher(at) => usher(world, at, words),
+        Agent::Proxy(at) => proxy(world, at, words),
         Agent::Backend(at) => backend(world, at, words),
         Agent::Voter(at) => match words {
             ["kill"] => {
@@ -68,7 +68,7 @@
 fn backend(world: &mut World, at: usize, words: &[&str]) -> Result<(), String> {
     match words {
         ["replace"] => world.replace(at),
-        ["resets"] => world.reset(Agent::Usher(at), Agent::Backend(at)),
+        ["resets"] => world.reset(Agent::Proxy(at), Agent::Backend(at)),
         ["work", ms] => {
             world.backends[at].work = Micros::ms(ms.parse().map_err(|e| format!("no time: {e}"))?);
         }
@@ -78,8 +78,8 @@
     Ok(())
 }
 
-fn usher(world: &mut World, at: usize, words: &[&str]) -> Result<(), String> {
-    let own = Agent::Usher(at);
+fn proxy(world: &mut World, at: usize, words: &[&str]) -> Result<(), String> {
+    let own = Agent::Proxy(at);
     match words {
         ["kill"] => world.kill(at),
         ["start"] => world.start(at),
@@ -99,11 +99,11 @@
         ["to", others @ ..] => {
             let mut all = Vec::new();
             for other in others {
-                if let Agent::Usher(to) = place(world, other)? {
+                if let Agent::Proxy(to) = place(world, other)? {
                     all.push(to);
                 }
             }
-            world.ushers[at].aims = all;
+            world.proxies[at].aims = all;
         }
         ["safe", attempt] => world.request(at, attempt, Kind::Safe, PATIENCE),
         ["unsafe", attempt] => world.request(at, attempt, Kind::Unsafe, PATIENCE),
--- a/crates/lab/src/mesh/traffic/world.rs
+++ b/crates/lab/src/mesh/traffic/world.rs
@@ -2,12 +2,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use notchspool::units::Micros;
-use notchspool_idempotency::rack::{Rack, Vote};
-use notchspool_mesh_protocol::{Claim, Claimed, What};
+use notchspool_idempotency::claim_table::{ClaimTable, Decision};
+use notchspool_mesh_protocol::{Claim, ClaimReply, Payload};
 use oorandom::Rand64;
 
 use super::backend::{Backend, Reply};
-use super::door::Usher;
+use super::door::Proxy;
 use super::judge::{Client, Judge, Kind};
 use super::{Breach, Rule};
 
@@ -19,14 +19,14 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Agent {
-    Usher(usize),
+    Proxy(usize),
     Backend(usize),
     Voter(usize),
 }
 
 #[derive(Clone, Debug)]
 pub enum Load {
-    Cue(Box<What>),
+    Cue(Box<Payload>),
     /// The first bytes of a request, and the last of it.
     Begin {
         attempt: String,
@@ -38,7 +38,7 @@
     Closed,
 }
 
-pub fn cue(what: What) -> Load {
+pub fn cue(what: Payload) -> Load {
     Load::Cue(Box::new(what))
 }
 
@@ -60,18 +60,18 @@
 }
 
 pub struct Voter {
-    rack: Rack,
+    rack: ClaimTable,
     pub up: bool,
 }
 
 pub struct World {
     pub now: Micros,
     pub chance: Rand64,
-    pub ushers: Vec<Usher>,
+    pub proxies: Vec<Proxy>,
     pub backends: Vec<Backend>,
     pub voters: Vec<Voter>,
     pub wires: BTreeMap<u64, Wire>,
-    /// Links between ushers that are being opened: when that is known, and till when it is waited for.
+    /// Links between proxies that are being opened: when that is known, and till when it is waited for.
     pub dials: Vec<(Micros, Micros, u64)>,
     /// Pairs that are cut from each other; what is sent waits.
     pub cuts: BTreeSet<(Agent, Agent)>,
@@ -85,15 +85,15 @@
 }
 
 impl World {
-    pub fn new(ushers: usize, seed: u64, window: Micros, breach: Option<Breach>) -> World {
+    pub fn new(proxies: usize, seed: u64, window: Micros, breach: Option<Breach>) -> World {
         let now = Micros(1);
-        let rack = Rack::open(window + KEPT_OVER);
+        let rack = ClaimTable::new(window + KEPT_OVER);
         let voters = (0..3).map(|_| Voter { rack: rack.clone(), up: true }).collect();
         let mut world = World {
             now,
             chance: Rand64::new(u128::from(seed)),
-            ushers: Vec::new(),
-            backends: (0..ushers).map(Backend::new).collect(),
+            proxies: Vec::new(),
+            backends: (0..proxies).map(Backend::new).collect(),
             voters,
             wires: BTreeMap::new(),
             dials: Vec::new(),
@@ -105,9 +105,9 @@
             next: 0,
             lives: 0,
         };
-        for at in 0..ushers {
+        for at in 0..proxies {
             world.lives += 1;
-            world.ushers.push(Usher::new(at, world.lives, now, window));
+            world.proxies.push(Proxy::new(at, world.lives, now, window));
             world.meet_voters(at);
         }
         world
@@ -132,7 +132,7 @@
     }
 
     pub fn cut_all(&mut self, a: Agent) {
-        let others = (0..self.ushers.len()).map(Agent::Usher).chain((0..3).map(Agent::Voter));
+        let others = (0..self.proxies.len()).map(Agent::Proxy).chain((0..3).map(Agent::Voter));
         self.cuts.extend(others.filter(|b| *b != a).map(|b| (a, b)));
     }
 
@@ -174,7 +174,7 @@
 
     fn awake(&self, agent: Agent) -> bool {
         match agent {
-            Agent::Usher(at) => self.ushers[at].up && !self.ushers[at].frozen,
+            Agent::Proxy(at) => self.proxies[at].up && !self.proxies[at].frozen,
             Agent::Backend(_) => true,
             Agent::Voter(at) => self.voters[at].up,
         }
@@ -195,7 +195,7 @@
             for packet in wire.way.iter().filter(|p| p.landed) {
                 // Nobody reads a connection to a backend that stands unused.
                 let end = wire.ends[packet.end];
-                let unread = matches!(end, Agent::Usher(u) if self.ushers[u].idle(*id));
+                let unread = matches!(end, Agent::Proxy(u) if self.proxies[u].idle(*id));
                 if self.awake(end) && !unread {
                     due.push((packet.at, *id, packet.end));
                 }
@@ -206,7 +206,7 @@
             let Some(wire) = self.wires.get_mut(&id) else { continue };
             let Some(first) = wire.way.iter().position(|p| p.end == end && p.landed) else { continue };
             let agent = wire.ends[end];
-            if matches!(agent, Agent::Usher(u) if self.ushers[u].idle(id)) {
+            if matches!(agent, Agent::Proxy(u) if self.proxies[u].idle(id)) {
                 continue;
             }
             let load = wire.way.remove(first).load;
@@ -217,7 +217,7 @@
                 wire.gone[end] = true;
             }
             match agent {
-                Agent::Usher(at) => self.usher_hears(at, id, end, load),
+                Agent::Proxy(at) => self.proxy_hears(at, id, end, load),
                 Agent::Backend(at) => self.backend_hears(at, id, load),
                 Agent::Voter(at) => self.voter_hears(at, id, load),
             }
@@ -232,15 +232,15 @@
             std::mem::take(&mut self.dials).into_iter().partition(|d| d.0 <= now);
         self.dials = later;
         for (_, until, id) in due {
-            let Some([Agent::Usher(from), Agent::Usher(to)]) = self.wires.get(&id).map(|w| w.ends) else {
+            let Some([Agent::Proxy(from), Agent::Proxy(to)]) = self.wires.get(&id).map(|w| w.ends) else {
                 continue;
             };
-            if self.ushers[from].frozen {
+            if self.proxies[from].frozen {
                 self.dials.push((now + Micros::ms(1), until, id));
-            } else if !self.ushers[to].up || now >= until {
+            } else if !self.proxies[to].up || now >= until {
                 self.wires.remove(&id);
                 self.link_ends(from, id);
-            } else if self.cut(Agent::Usher(from), Agent::Usher(to)) {
+            } else if self.cut(Agent::Proxy(from), Agent::Proxy(to)) {
                 self.dials.push((now + Micros::ms(10), until, id));
             } else {
                 self.link_up(from, id);
@@ -249,7 +249,7 @@
     }
 
     pub fn dial(&mut self, from: usize, to: usize) -> u64 {
-        let id = self.wire(Agent::Usher(from), Agent::Usher(to));
+        let id = self.wire(Agent::Proxy(from), Agent::Proxy(to));
         let known = Micros(200 + (self.chance.rand_float() * self.slow.0 as f64) as i64);
         self.dials.push((self.now + known, self.now + DIAL, id));
         id
@@ -257,8 +257,8 @@
 
     pub fn meet_voters(&mut self, at: usize) {
         for voter in 0..self.voters.len() {
-            let id = self.wire(Agent::Usher(at), Agent::Voter(voter));
-            self.ushers[at].voters[voter] = Some(id);
+            let id = self.wire(Agent::Proxy(at), Agent::Voter(voter));
+            self.proxies[at].voters[voter] = Some(id);
         }
     }
 
@@ -268,12 +268,12 @@
         let now = self.now;
         let Load::Cue(what) = load else { return };
         match *what {
-            What::Claim(claim) => {
+            Payload::Claim(claim) => {
                 let voted = self.voters[at].rack.claim(now, &claim);
                 let claimed = vote(at, &claim, voted);
-                self.send(wire, 1, cue(What::Claimed(claimed)));
+                self.send(wire, 1, cue(Payload::ClaimReply(claimed)));
             }
-            What::Withdraw(back) => {
+            Payload::WithdrawClaim(back) => {
                 self.voters[at].rack.withdraw(&back.key, back.ticket.unwrap_or_default());
             }
             _ => {}
@@ -294,12 +294,12 @@
     }
 
     pub fn kill(&mut self, at: usize) {
-        if self.ushers[at].up {
-            self.ushers[at].up = false;
-            self.hang_up(Agent::Usher(at), true);
-            self.dials.retain(|d| self.wires.get(&d.2).is_some_and(|w| w.ends[0] != Agent::Usher(at)));
-            let life = self.ushers[at].life;
-            for client in self.judge.clients.values_mut().filter(|c| c.usher == at && c.life == life) {
+        if self.proxies[at].up {
+            self.proxies[at].up = false;
+            self.hang_up(Agent::Proxy(at), true);
+            self.dials.retain(|d| self.wires.get(&d.2).is_some_and(|w| w.ends[0] != Agent::Proxy(at)));
+            let life = self.proxies[at].life;
+            for client in self.judge.clients.values_mut().filter(|c| c.proxy == at && c.life == life) {
                 client.gone |= client.got.is_none();
             }
         }
@@ -307,22 +307,22 @@
 
     /// A new life: all ids begin again.
     pub fn start(&mut self, at: usize) {
-        if !self.ushers[at].up {
+        if !self.proxies[at].up {
             self.lives += 1;
-            self.ushers[at] = Usher::new(at, self.lives, self.now, self.window);
+            self.proxies[at] = Proxy::new(at, self.lives, self.now, self.window);
             self.meet_voters(at);
         }
     }
 
     pub fn freeze(&mut self, at: usize) {
-        self.ushers[at].frozen = true;
+        self.proxies[at].frozen = true;
     }
 
     pub fn wake(&mut self, at: usize) {
-        self.ushers[at].frozen = false;
+        self.proxies[at].frozen = false;
     }
 
-    /// All connections between two ushers, and from ushers to their backends, are reset from outside.
+    /// All connections between two proxies, and from proxies to their backends, are reset from outside.
     pub fn reset(&mut self, a: Agent, b: Agent) {
         let between: Vec<u64> = self
             .wires
@@ -350,22 +350,22 @@
         }
     }
 
-    pub fn request(&mut self, usher: usize, attempt: &str, kind: Kind, left: Micros) {
-        let life = self.ushers[usher].life;
+    pub fn request(&mut self, proxy: usize, attempt: &str, kind: Kind, left: Micros) {
+        let life = self.proxies[proxy].life;
         let (sent, until) = (self.now, self.now + left);
-        let gone = !self.ushers[usher].up;
-        let client = Client { kind, sent, until, usher, life, got: None, gone };
+        let gone = !self.proxies[proxy].up;
+        let client = Client { kind, sent, until, proxy, life, got: None, gone };
         self.judge.clients.insert(attempt.to_string(), client);
         if !gone {
-            self.ushers[usher].inbox.push(attempt.to_string());
+            self.proxies[proxy].inbox.push(attempt.to_string());
         }
     }
 
     pub fn leave(&mut self, attempt: &str) {
         if let Some(client) = self.judge.clients.get_mut(attempt).filter(|c| c.got.is_none()) {
             client.gone = true;
-            let usher = client.usher;
-            self.ushers[usher].leavers.push(attempt.to_string());
+            let proxy = client.proxy;
+            self.proxies[proxy].leavers.push(attempt.to_string());
         }
     }
 
@@ -378,17 +378,17 @@
             // What comes and what is due are seen in either order.
             let timers_first = self.luck(0.5);
             if timers_first {
-                (0..self.ushers.len()).for_each(|at| self.usher_wakes(at));
+                (0..self.proxies.len()).for_each(|at| self.proxy_wakes(at));
             }
             self.deliver();
             if !timers_first {
-                (0..self.ushers.len()).for_each(|at| self.usher_wakes(at));
+                (0..self.proxies.len()).for_each(|at| self.proxy_wakes(at));
             }
             (0..self.backends.len()).for_each(|at| self.backend_wakes(at));
             if (self.now.0 / 1_000) % 1_000 == 0 {
                 let now = self.now;
-                self.voters.iter_mut().for_each(|v| v.rack.wake(now));
-                for at in 0..self.ushers.len() {
+                self.voters.iter_mut().for_each(|v| v.rack.tick(now));
+                for at in 0..self.proxies.len() {
                     self.voters_again(at);
                 }
             }
@@ -399,7 +399,7 @@
     pub fn settle(&mut self) {
         self.cuts.clear();
         self.slow = Micros::ms(2);
-        for at in 0..self.ushers.len() {
+        for at in 0..self.proxies.len() {
             self.wake(at);
             self.start(at);
         }
@@ -413,20 +413,29 @@
                 wrong.push((Rule::Left, format!("{attempt} has no answer")));
             }
         }
-        for usher in &self.ushers {
-            wrong.extend(usher.left().map(|what| (Rule::Left, format!("usher {}: {what}", usher.at))));
+        for proxy in &self.proxies {
+            wrong.extend(proxy.left().map(|what| (Rule::Left, format!("proxy {}: {what}", proxy.at))));
         }
         self.judge.wrong.extend(wrong);
         self.judge.judge(self.window, MOST);
     }
 }
 
-fn vote(at: usize, claim: &Claim, voted: Vote) -> Claimed {
+fn vote(at: usize, claim: &Claim, voted: Decision) -> ClaimReply {
     let (vote, ticket, holder, holder_life) = match voted {
-        Vote::Granted => (1, claim.ticket, claim.holder.clone(), claim.holder_life),
-        Vote::Taken { ticket, holder, holder_life } => (2, Some(ticket), holder, holder_life),
-        Vote::Full => (0, None, String::new(), 0),
+        Decision::Granted => (1, claim.ticket, claim.holder.clone(), claim.holder_boot_id),
+        Decision::HeldByOther { ticket, holder, holder_boot_id } => (2, Some(ticket), holder, holder_boot_id),
+        Decision::Full => (0, None, String::new(), 0),
     };
     let voter = at as u32;
-    Claimed { id: claim.id, vote, ticket, holder, holder_life, voter, set: 1, ..Claimed::default() }
+    ClaimReply {
+        id: claim.id,
+        vote,
+        ticket,
+        holder,
+        holder_boot_id: holder_life,
+        voter,
+        set_number: 1,
+        ..ClaimReply::default()
+    }
 }
--- a/crates/lab/src/scale/field.rs
+++ b/crates/lab/src/scale/field.rs
@@ -18,13 +18,13 @@
     pub plan: Plan,
     pub block: u8,
     _claim: TcpListener,
-    pub prompters: Vec<Process>,
-    pub ushers: Vec<Process>,
+    pub replicas: Vec<Process>,
+    pub proxies: Vec<Process>,
 }
 
 impl Drop for Field {
     fn drop(&mut self) {
-        self.prompters.iter_mut().chain(&mut self.ushers).for_each(Process::kill);
+        self.replicas.iter_mut().chain(&mut self.proxies).for_each(Process::kill);
         let _ = std::fs::remove_dir_all(&self.plan.folder);
     }
 }
@@ -40,38 +40,38 @@
             .map(|n| ((u16::from(first) + u16::from(n)) % 200) as u8 + 30)
             .find_map(|block| Some((block, claim(block)?)));
         let (block, _claim) = found.ok_or("no block of loopback addresses is free")?;
-        let mut field = Field { plan, block, _claim, prompters: Vec::new(), ushers: Vec::new() };
-        for n in 0..field.plan.prompters {
-            let made = field.process("prompter", n)?;
-            field.prompters.push(made);
+        let mut field = Field { plan, block, _claim, replicas: Vec::new(), proxies: Vec::new() };
+        for n in 0..field.plan.replicas {
+            let made = field.process("control-plane", n)?;
+            field.replicas.push(made);
         }
-        for n in 0..field.plan.ushers {
-            let made = field.process("usher", n)?;
-            field.ushers.push(made);
+        for n in 0..field.plan.proxies {
+            let made = field.process("proxy", n)?;
+            field.proxies.push(made);
         }
         Ok(field)
     }
 
     pub fn ip(&self, role: &str, n: usize) -> String {
-        let third = if role == "prompter" { 1 } else { 2 + n / 200 };
+        let third = if role == "control-plane" { 1 } else { 2 + n / 200 };
         format!("127.{}.{third}.{}", self.block, n % 200 + 1)
     }
     pub fn seeds(&self, port: u16) -> Vec<String> {
-        (0..self.plan.prompters.min(3)).map(|n| format!("{}:{port}", self.ip("prompter", n))).collect()
+        (0..self.plan.replicas.min(3)).map(|n| format!("{}:{port}", self.ip("control-plane", n))).collect()
     }
 
     fn process(&self, role: &str, n: usize) -> Result<Process, String> {
         let ip = self.ip(role, n);
         let folder = self.plan.folder.join(format!("{role}-{n}"));
-        let data = (role == "prompter").then(|| folder.display().to_string());
+        let data = (role == "control-plane").then(|| folder.display().to_string());
         let at = |port: u16| format!("{ip}:{port}");
         let settings = serde_json::json!({
             "node": format!("{role}-{n}"), "role": role, "zone": zone(n), "region": "r", "ipAddress": ip,
             "listenAddresses": {"inbound": at(8300), "outbound": at(8304), "readiness": at(8302),
                 "controlPlane": at(8306)},
             "portRange": [7620, 7635], "seedNodes": self.seeds(8306), "firstStart": true, "dataPath": data,
-            "beatIntervalS": BEAT.as_secs_f64(), "counted": role == "prompter",
-            "tolerate": {"machines": self.plan.prompters.saturating_sub(1) / 2, "zones": 0, "regions": 0},
+            "beatIntervalS": BEAT.as_secs_f64(), "counted": role == "control-plane",
+            "tolerate": {"machines": self.plan.replicas.saturating_sub(1) / 2, "zones": 0, "regions": 0},
             "bounds": ["drainS=2", "graceS=6", "keyWindowS=60", "retryRatio=0.2", "retryWindowS=10", "retrySlack=60"],
             "limits": {"memoryMb": 256}, "appAddress": at(8301), "service": service(n, self.plan.services),
         });
@@ -79,14 +79,19 @@
         std::fs::write(&file, settings.to_string()).map_err(|e| format!("{}: {e}", file.display()))?;
         let file = file.display().to_string();
         match &self.plan.programs {
-            Some(beside) => Ok(Process::new(role, &beside.join(role), &["--settings", &file], &folder)),
+            Some(beside) => Ok(Process::new(
+                role,
+                &beside.join(format!("notchspool-{role}")),
+                &["--settings", &file],
+                &folder,
+            )),
             None => Ok(Process::new(role, &self.plan.own, &["lab", "part", role, &file], &folder)),
         }
     }
 
-    /// Processor, memory and bytes of prompters, then ushers, then this process.
+    /// Processor, memory and bytes of replicas, then proxies, then this process.
     pub fn looks(&self) -> proc::Looks {
-        let ids = self.prompters.iter().chain(&self.ushers).filter_map(Process::id);
+        let ids = self.replicas.iter().chain(&self.proxies).filter_map(Process::id);
         proc::looks(&ids.chain([std::process::id()]).collect::<Vec<_>>(), self.block)
     }
 
@@ -131,7 +136,7 @@
     timed.unwrap_or_else(|_| Err(std::io::ErrorKind::TimedOut.into()))
 }
 
-/// Beats of the backend beside a real usher, for as long as this is not dropped.
+/// Beats of the backend beside a real proxy, for as long as this is not dropped.
 pub async fn beats(ip: String, zone: &'static str, service: String, n: usize) {
     let mut calls = 0u64;
     loop {
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -1,6 +1,6 @@
-//! Hollow agents: to a prompter each is an usher with a backend of its own; no request passes it, and it keeps no list, only who it was
+//! Hollow agents: to a replica each is a proxy with a backend of its own; no request passes it, and it keeps no list, only who it was
 //! told of. Messages, frames, connections and the counting of votes are the mesh's own code; when it dials, follows, asks and pulses it does
-//! as the usher's side does (`callboy.rs`).
+//! as the proxy's side does (`callboy.rs`).
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -9,10 +9,13 @@
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::time::{Duration, Instant};
 
-use notchspool_idempotency::round::{Round, Verdict};
-use notchspool_mesh_protocol::texts::{Heard, Texts};
-use notchspool_mesh_protocol::{Bill, Claim, Cue, Hello, Ping, State, Station, Ticket, Want, Watch, What};
-use notchspool_runtime::rope::{self, Rope};
+use notchspool_idempotency::claim_proposal::{ClaimProposal, Outcome as ClaimOutcome};
+use notchspool_mesh_protocol::text_transfer::{Incoming, TextStore};
+use notchspool_mesh_protocol::{
+    Claim, ConfigRequest, Endpoint, EndpointState, EndpointUpdate, Frame, Hello, Payload, Ping, Ticket,
+    WatchEndpoints,
+};
+use notchspool_runtime::frame_connection::{self, FrameSender};
 use oorandom::Rand64;
 use prost::Message;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
@@ -26,7 +29,7 @@
 /// What a hollow agent came to know.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// It reaches all prompters, follows one, has a configuration and was told of everybody.
+    /// It reaches all replicas, follows one, has a configuration and was told of everybody.
     Whole,
     /// It was told this version of the configuration.
     Word(u64),
@@ -74,7 +77,7 @@
     pub seed: u64,
     pub block: u8,
     pub hollow: usize,
-    pub ushers: usize,
+    pub proxies: usize,
     pub services: usize,
     pub threads: usize,
     pub seeds: Vec<String>,
@@ -92,13 +95,13 @@
 pub fn service(n: usize, services: usize) -> String {
     format!("service-{:04}", n % services.max(1))
 }
-/// `h-N` is a hollow agent's, `u-N` a real usher's.
+/// `h-N` is a hollow agent's, `u-N` a real proxy's.
 fn place(instance: &str, shared: &Shared) -> Option<usize> {
     let (kind, n) = instance.split_once('-')?;
     let n: usize = n.parse().ok()?;
     match kind {
         "h" if n < shared.hollow => Some(n),
-        "u" if n < shared.ushers => Some(shared.hollow + n),
+        "u" if n < shared.proxies => Some(shared.hollow + n),
         _ => None,
     }
 }
@@ -117,10 +120,10 @@
     chance: RefCell<Rand64>,
     list: RefCell<Vec<String>>,
     dialed: RefCell<BTreeSet<String>>,
-    open: RefCell<BTreeMap<String, (Rope, String)>>,
+    open: RefCell<BTreeMap<String, (FrameSender, String)>>,
     followed: RefCell<Option<String>>,
     set: Cell<u64>,
-    texts: RefCell<Texts>,
+    texts: RefCell<TextStore>,
     conns: Cell<u64>,
     failures: Cell<u32>,
     line: Cell<u64>,
@@ -132,13 +135,13 @@
     calls: Cell<u64>,
     number: Cell<u64>,
     drains: Cell<bool>,
-    hands: RefCell<HashMap<u64, (Round, Instant)>>,
+    hands: RefCell<HashMap<u64, (ClaimProposal, Instant)>>,
 }
 
 impl Hollow {
     fn new(shared: &Arc<Shared>, n: usize) -> Rc<Hollow> {
         let mut chance = Rand64::new((u128::from(shared.seed) << 32) | n as u128);
-        let all = shared.hollow + shared.ushers;
+        let all = shared.hollow + shared.proxies;
         Rc::new(Hollow {
             own: format!("127.{}.{}.{}:7620", shared.block, 40 + n / 200, n % 200 + 1),
             life: chance.rand_u64() | 1,
@@ -150,7 +153,7 @@
             open: RefCell::default(),
             followed: RefCell::default(),
             set: Cell::new(0),
-            texts: RefCell::new(Texts::open(2)),
+            texts: RefCell::new(TextStore::new(2)),
             conns: Cell::new(0),
             failures: Cell::new(0),
             line: Cell::new(0),
@@ -173,10 +176,10 @@
         // The driver may have ended.
         let _ = self.shared.events.send((Instant::now(), event));
     }
-    fn send(&self, rope: &Rope, what: What) -> bool {
-        let cue = Cue { what: Some(what) };
+    fn send(&self, rope: &FrameSender, what: Payload) -> bool {
+        let cue = Frame { payload: Some(what) };
         let bytes = 4 + cue.encoded_len() as u64;
-        let sent = cue.what.is_some_and(|what| rope.send(what));
+        let sent = cue.payload.is_some_and(|what| rope.send(what));
         if sent {
             self.shared.counts.sent.fetch_add(bytes, Relaxed);
             self.shared.counts.frames_out.fetch_add(1, Relaxed);
@@ -184,35 +187,35 @@
         sent
     }
 
-    fn hello(&self) -> What {
-        What::Hello(Hello {
+    fn hello(&self) -> Payload {
+        Payload::Hello(Hello {
             node: format!("hollow-{:05}", self.n),
-            life: self.life,
+            boot_id: self.life,
             zone: zone(self.n).into(),
             address: self.own.clone(),
             role: 1,
             ..Hello::default()
         })
     }
-    fn station(&self) -> What {
-        let state = if self.drains.get() { State::Draining } else { State::Ready };
-        What::Station(Station {
+    fn station(&self) -> Payload {
+        let state = if self.drains.get() { EndpointState::Draining } else { EndpointState::Ready };
+        Payload::Endpoint(Endpoint {
             instance: format!("h-{:05}", self.n),
             service: service(self.n, self.shared.services),
-            usher: self.own.clone(),
-            life: self.life,
+            proxy: self.own.clone(),
+            boot_id: self.life,
             number: self.calls.get(),
             zone: zone(self.n).into(),
             slots: 6,
             state: state.into(),
-            cold_ms: 0,
+            warmup_ms: 0,
             address: self.own.replace(":7620", ":8301"),
-            calls: self.calls.get(),
+            call_count: self.calls.get(),
         })
     }
     fn station_to_all(&self) {
         self.calls.set(self.calls.get() + 1);
-        let open: Vec<Rope> = self.open.borrow().values().map(|v| v.0.clone()).collect();
+        let open: Vec<FrameSender> = self.open.borrow().values().map(|v| v.0.clone()).collect();
         for rope in open {
             // One that has ended is dialled again, and told then.
             let _ = self.send(&rope, self.station());
@@ -229,16 +232,16 @@
             let mut failures = 0u32;
             loop {
                 own.shared.counts.dials.fetch_add(1, Relaxed);
-                if let Ok(stream) = rope::dial(to, Duration::from_millis(800)).await {
+                if let Ok(stream) = frame_connection::connect(to, Duration::from_millis(800)).await {
                     failures = 0;
-                    let rope = Rope::default();
+                    let rope = FrameSender::default();
                     own.conns.set(own.conns.get() + 1);
                     let conn = own.conns.get();
-                    let hello = own.texts.borrow_mut().send(conn, own.hello());
+                    let hello = own.texts.borrow_mut().outgoing(conn, own.hello());
                     own.send(&rope, hello);
                     own.shared.counts.open.fetch_add(1, Relaxed);
                     own.attend(stream, (&address, conn), rope).await;
-                    own.texts.borrow_mut().closed(conn);
+                    own.texts.borrow_mut().on_closed(conn);
                     own.shared.counts.open.fetch_sub(1, Relaxed);
                     own.shared.counts.lost.fetch_add(1, Relaxed);
                     own.lost(&address);
@@ -254,18 +257,18 @@
         self: &Rc<Hollow>,
         stream: tokio::net::TcpStream,
         (address, conn): (&str, u64),
-        rope: Rope,
+        rope: FrameSender,
     ) {
         let pulse = async {
             let mut number = 0;
             loop {
                 tokio::time::sleep(PULSE).await;
                 number += 1;
-                self.send(&rope, What::Ping(Ping { number }));
+                self.send(&rope, Payload::Ping(Ping { number }));
             }
         };
         let (sends, own) = (rope.clone(), self.clone());
-        let run = rope::run(stream, rope.clone(), Some(SILENCE), |what| {
+        let run = frame_connection::run(stream, rope.clone(), Some(SILENCE), |what| {
             own.prompted((address, conn), &sends, what)
         });
         tokio::select! { _ = run => (), () = pulse => () }
@@ -298,34 +301,40 @@
         let at = (self.dart() * among as f64) as usize;
         let Some((address, (rope, _))) = all.get(at) else { return };
         *self.followed.borrow_mut() = Some((*address).clone());
-        self.send(rope, What::Watch(Watch { have: self.version.get(), line: self.line.get() }));
+        self.send(
+            rope,
+            Payload::WatchEndpoints(WatchEndpoints {
+                version: self.version.get(),
+                numbered_by: self.line.get(),
+            }),
+        );
     }
 
-    fn prompted(self: &Rc<Hollow>, (address, conn): (&str, u64), rope: &Rope, what: What) {
-        let cue = Cue { what: Some(what) };
+    fn prompted(self: &Rc<Hollow>, (address, conn): (&str, u64), rope: &FrameSender, what: Payload) {
+        let cue = Frame { payload: Some(what) };
         let bytes = 4 + cue.encoded_len() as u64;
         let counts = &self.shared.counts;
         counts.frames_in.fetch_add(1, Relaxed);
-        let kind = match &cue.what {
-            Some(What::Pong(_)) => &counts.pongs,
-            Some(What::Bill(_)) => &counts.bills,
-            Some(What::Word(_) | What::Carried(_)) => &counts.words,
-            Some(What::Claimed(_)) => &counts.claimed,
+        let kind = match &cue.payload {
+            Some(Payload::Pong(_)) => &counts.pongs,
+            Some(Payload::EndpointUpdate(_)) => &counts.bills,
+            Some(Payload::ConfigUpdate(_) | Payload::TextEnvelope(_)) => &counts.words,
+            Some(Payload::ClaimReply(_)) => &counts.claimed,
             _ => &counts.other,
         };
         kind.fetch_add(bytes, Relaxed);
-        let Some(what) = cue.what else { return };
-        let what = match self.texts.borrow_mut().hear(conn, what) {
-            Heard::Says(what) => Some(what),
-            Heard::Ask(back) => {
+        let Some(what) = cue.payload else { return };
+        let what = match self.texts.borrow_mut().incoming(conn, what) {
+            Incoming::Message(what) => Some(what),
+            Incoming::Reply(back) => {
                 self.send(rope, back);
                 None
             }
-            Heard::Done => None,
+            Incoming::Nothing => None,
         };
         match what {
-            Some(What::Welcome(welcome)) => {
-                let number = welcome.set.as_ref().map_or(0, |s| s.number);
+            Some(Payload::Welcome(welcome)) => {
+                let number = welcome.voter_set.as_ref().map_or(0, |s| s.number);
                 self.set.set(self.set.get().max(number));
                 if !welcome.voters.is_empty() {
                     self.list.borrow_mut().clone_from(&welcome.voters);
@@ -335,32 +344,32 @@
                     self.open.borrow_mut().insert(address.to_string(), (rope.clone(), welcome.zone));
                     self.send(rope, self.station());
                     self.follow();
-                    self.holding(rope, welcome.chosen, self.word.get() == 0);
+                    self.holding(rope, welcome.chosen_version, self.word.get() == 0);
                 }
             }
-            Some(What::Holding(holding)) => self.holding(rope, holding.chosen, false),
-            // Made out as an usher does; the routes in it are not read.
-            Some(What::Word(word)) if word.version > self.word.get() => {
+            Some(Payload::KnownVersion(holding)) => self.holding(rope, holding.version, false),
+            // Made out as a proxy does; the routes in it are not read.
+            Some(Payload::ConfigUpdate(word)) if word.version > self.word.get() => {
                 self.word.set(word.version);
                 self.tell(Event::Word(word.version));
             }
-            Some(What::Bill(bill))
+            Some(Payload::EndpointUpdate(bill))
                 if self.followed.borrow().as_deref() == Some(address)
                     && bill.version >= self.version.get() =>
             {
                 self.failures.set(0);
-                self.line.set(bill.line);
+                self.line.set(bill.numbered_by);
                 self.version.set(bill.version);
                 self.listed(&bill);
             }
-            Some(What::Claimed(claimed)) => {
+            Some(Payload::ClaimReply(claimed)) => {
                 let mut hands = self.hands.borrow_mut();
                 let id = claimed.id;
                 if let Some((round, began)) = hands.get_mut(&id) {
-                    round.hear(claimed);
-                    let verdict = round.verdict(false);
-                    if verdict != Verdict::Open {
-                        self.tell(Event::Claim(verdict == Verdict::Ours, Some(began.elapsed())));
+                    round.on_reply(claimed);
+                    let verdict = round.outcome(false);
+                    if verdict != ClaimOutcome::Pending {
+                        self.tell(Event::Claim(verdict == ClaimOutcome::Granted, Some(began.elapsed())));
                         hands.remove(&id);
                     }
                 }
@@ -370,8 +379,8 @@
         self.check();
     }
 
-    fn listed(&self, bill: &Bill) {
-        for station in &bill.stations {
+    fn listed(&self, bill: &EndpointUpdate) {
+        for station in &bill.endpoints {
             let Some(at) = place(&station.instance, &self.shared) else { continue };
             let mut seen = self.seen.borrow_mut();
             if let Some(word) = seen.bits.get_mut(at / 64)
@@ -380,7 +389,7 @@
                 *word |= 1 << (at % 64);
                 seen.count += 1;
             }
-            if station.state() == State::Draining {
+            if station.state() == EndpointState::Draining {
                 self.tell(Event::Drains(at));
             }
         }
@@ -390,7 +399,7 @@
         if self.whole.get() {
             return;
         }
-        let (list, all) = (self.list.borrow().len(), self.shared.hollow + self.shared.ushers);
+        let (list, all) = (self.list.borrow().len(), self.shared.hollow + self.shared.proxies);
         let told = self.word.get() > 0 && self.seen.borrow().count == all;
         if told && list > 0 && self.open.borrow().len() == list && self.followed.borrow().is_some() {
             self.whole.set(true);
@@ -398,7 +407,7 @@
         }
     }
 
-    fn holding(self: &Rc<Hollow>, rope: &Rope, chosen: u64, at_once: bool) {
+    fn holding(self: &Rc<Hollow>, rope: &FrameSender, chosen: u64, at_once: bool) {
         if chosen <= self.awaited.get() || self.word.get() >= chosen {
             return;
         }
@@ -409,7 +418,7 @@
                 tokio::time::sleep(BEFORE_ASKING).await;
             }
             if own.word.get() < chosen {
-                own.send(&rope, What::Want(Want { version: chosen }));
+                own.send(&rope, Payload::ConfigRequest(ConfigRequest { version: chosen }));
             }
             tokio::time::sleep(BEFORE_ASKING).await;
             if own.awaited.get() == chosen {
@@ -426,17 +435,19 @@
         let claim = Claim {
             id: number,
             key,
-            ticket: Some(Ticket { life: self.life, number, turn: 0 }),
+            ticket: Some(Ticket { boot_id: self.life, number, attempt: 0 }),
             holder: self.own.clone(),
-            holder_life: self.life,
-            set: self.set.get(),
+            holder_boot_id: self.life,
+            set_number: self.set.get(),
             ..Claim::default()
         };
-        self.hands.borrow_mut().insert(number, (Round::begin(self.set.get(), list.len()), Instant::now()));
-        let ropes: Vec<Rope> = self.open.borrow().values().map(|v| v.0.clone()).collect();
+        self.hands
+            .borrow_mut()
+            .insert(number, (ClaimProposal::new(self.set.get(), list.len()), Instant::now()));
+        let ropes: Vec<FrameSender> = self.open.borrow().values().map(|v| v.0.clone()).collect();
         for rope in ropes {
             // Counted as late where too few are left.
-            let _ = self.send(&rope, What::Claim(claim.clone()));
+            let _ = self.send(&rope, Payload::Claim(claim.clone()));
         }
     }
     /// Claims that have no majority by now have none.
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -1,4 +1,4 @@
-//! The control plane under many agents: real `prompter` and `usher` processes on loopback, beside them hollow agents that speak the
+//! The control plane under many agents: real `replica` and `proxy` processes on loopback, beside them hollow agents that speak the
 //! real messages from threads of one process. Bounded in processes, sockets, memory and time; it ends by itself.
 pub mod field;
 pub mod hollow;
@@ -19,14 +19,14 @@
 /// What a run is made of.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Where `prompter` and `usher` lie. None: this program plays them, by the same code, as `notchspool lab part`.
+    /// Where `replica` and `proxy` lie. None: this program plays them, by the same code, as `notchspool lab part`.
     pub programs: Option<PathBuf>,
     pub own: PathBuf,
     /// Files of this run; removed at its end.
     pub folder: PathBuf,
     pub seed: u64,
-    pub prompters: usize,
-    pub ushers: usize,
+    pub replicas: usize,
+    pub proxies: usize,
     pub hollow: usize,
     pub threads: usize,
     pub services: usize,
@@ -59,23 +59,23 @@
 
 impl Plan {
     pub fn need(&self) -> Need {
-        let (n, all) = (self.hollow as u64, (self.hollow + self.ushers) as u64);
-        let (prompters, ushers) = (self.prompters as u64, self.ushers as u64);
-        // A connection: both ends' buffers and tasks, and what the kernel holds of it. Lists: a row at each prompter and real usher, a
+        let (n, all) = (self.hollow as u64, (self.hollow + self.proxies) as u64);
+        let (replicas, proxies) = (self.replicas as u64, self.proxies as u64);
+        // A connection: both ends' buffers and tasks, and what the kernel holds of it. Lists: a row at each replica and real proxy, a
         // bit at each hollow agent; and whole lists on their way at the start.
-        let conns = n * prompters * 96;
-        let lists = all * (prompters + ushers) + n * all / 8 / 1024 + n * all / 64;
-        let mb = 64 + (prompters + ushers) * 16 + (conns + lists) / 1024;
+        let conns = n * replicas * 96;
+        let lists = all * (replicas + proxies) + n * all / 8 / 1024 + n * all / 64;
+        let mb = 64 + (replicas + proxies) * 16 + (conns + lists) / 1024;
         let told = TOLD * (self.words + self.drains) as u32;
         let time = self.ramp + self.settle + self.span * 3 + told + Duration::from_secs(40);
-        Need { processes: 1 + self.prompters + self.ushers, sockets: n * prompters + 200, mb, time }
+        Need { processes: 1 + self.replicas + self.proxies, sockets: n * replicas + 200, mb, time }
     }
 
     /// Refuses what asks for too much, with what it would need.
     pub fn check(&self) -> Result<(), String> {
         let need = self.need();
-        if self.prompters == 0 || self.prompters > 9 || self.threads == 0 || self.threads > 8 {
-            return Err("asks for other than 1 to 9 prompters and 1 to 8 threads".into());
+        if self.replicas == 0 || self.replicas > 9 || self.threads == 0 || self.threads > 8 {
+            return Err("asks for other than 1 to 9 replicas and 1 to 8 threads".into());
         }
         if self.services == 0 || self.routes < self.services || self.routes > 20_000 {
             return Err("asks for no services, or for fewer routes than services, or for over 20000".into());
--- a/crates/lab/src/scale/play.rs
+++ b/crates/lab/src/scale/play.rs
@@ -33,8 +33,8 @@
 pub struct Phase {
     pub name: String,
     pub span: f64,
-    pub prompters: Vec<Cost>,
-    pub ushers: Vec<Cost>,
+    pub replicas: Vec<Cost>,
+    pub proxies: Vec<Cost>,
     /// This process: all hollow agents together.
     pub own: Cost,
     /// Of all hollow agents, bytes a second: sent; told, by what it was.
@@ -58,7 +58,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Sheet {
     pub hollow: usize,
-    pub ushers: usize,
+    pub proxies: usize,
     pub seed: u64,
     pub word_bytes: usize,
     pub packed_bytes: usize,
@@ -86,14 +86,14 @@
         let mut text = String::new();
         let _ = writeln!(
             text,
-            "{} hollow agents, {} real ushers, seed {}; told all: {}; a configuration of {} bytes, {} packed",
-            self.hollow, self.ushers, self.seed, self.whole, self.word_bytes, self.packed_bytes
+            "{} hollow agents, {} real proxies, seed {}; told all: {}; a configuration of {} bytes, {} packed",
+            self.hollow, self.proxies, self.seed, self.whole, self.word_bytes, self.packed_bytes
         );
         for p in &self.phases {
             let _ = writeln!(text, "{} ({:.2} s)", p.name, p.span);
             let mut roles = vec![("hollows, all", p.own)];
-            roles.extend(p.prompters.iter().map(|c| ("prompter", *c)));
-            roles.extend(p.ushers.iter().map(|c| ("usher", *c)));
+            roles.extend(p.replicas.iter().map(|c| ("control-plane", *c)));
+            roles.extend(p.proxies.iter().map(|c| ("proxy", *c)));
             for (role, c) in roles {
                 let _ = writeln!(
                     text,
@@ -188,15 +188,15 @@
                 disk: b.disk.saturating_sub(a.disk) as f64 / span,
             }
         };
-        let (prompters, ushers) = (self.field.prompters.len(), self.field.ushers.len());
+        let (replicas, proxies) = (self.field.replicas.len(), self.field.proxies.len());
         let grown = |n: usize| to.1.0[n].saturating_sub(from.1.0[n]);
         let rate = |n: usize| grown(n) as f64 / span;
         Phase {
             name: name.into(),
             span,
-            prompters: (0..prompters).map(cost).collect(),
-            ushers: (prompters..prompters + ushers).map(cost).collect(),
-            own: cost(prompters + ushers),
+            replicas: (0..replicas).map(cost).collect(),
+            proxies: (replicas..replicas + proxies).map(cost).collect(),
+            own: cost(replicas + proxies),
             sent: rate(0),
             pongs: rate(1),
             bills: rate(2),
@@ -239,7 +239,7 @@
         let status = post(to, "/notchspool/rpc?call=config.replace".into(), body).await;
         match status {
             Ok(200) => Ok(true),
-            Ok(400) => Err("a prompter refuses the configuration".into()),
+            Ok(400) => Err("a replica refuses the configuration".into()),
             _ => Ok(false),
         }
     }
@@ -248,7 +248,7 @@
         let began = Instant::now();
         while !self.put(1).await? {
             if began.elapsed() > Duration::from_secs(20) {
-                return Err("no prompter took the first configuration within 20 s".into());
+                return Err("no replica took the first configuration within 20 s".into());
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
@@ -358,7 +358,7 @@
         seed: plan.seed,
         block: field.block,
         hollow: plan.hollow,
-        ushers: plan.ushers,
+        proxies: plan.proxies,
         services: plan.services,
         threads: plan.threads,
         seeds: field.seeds(7620),
@@ -368,14 +368,14 @@
         changes: AtomicU64::new(0),
         claims: AtomicU64::new(0),
     });
-    for process in field.prompters.iter_mut().chain(&mut field.ushers) {
+    for process in field.replicas.iter_mut().chain(&mut field.proxies) {
         process.start(&[])?;
     }
     let word_bytes = field.word(1).len();
-    let packed_bytes = notchspool_mesh_protocol::pack(1, field.word(1).as_bytes()).body.len();
+    let packed_bytes = notchspool_mesh_protocol::ConfigUpdate::new(1, field.word(1).as_bytes()).body.len();
     let sheet = Sheet {
         hollow: plan.hollow,
-        ushers: plan.ushers,
+        proxies: plan.proxies,
         seed: plan.seed,
         word_bytes,
         packed_bytes,
@@ -383,8 +383,8 @@
     };
     let mut run = Run { field, shared: shared.clone(), told, orders: Vec::new(), sheet };
     let all = async {
-        for n in 0..plan.ushers {
-            let ip = run.field.ip("usher", n);
+        for n in 0..plan.proxies {
+            let ip = run.field.ip("proxy", n);
             tokio::task::spawn_local(beats(ip, zone(n), service(n, plan.services), n));
         }
         run.first_word().await?;
--- a/crates/lab/tests/mesh.rs
+++ b/crates/lab/tests/mesh.rs
@@ -48,7 +48,7 @@
     assert!(figures.disk_files <= 12 && figures.texts <= 4 * text, "{figures:#?}");
     // Four versions, and the log of claims.
     assert!(figures.disk_bytes <= 6 * body + (1 << 20), "{figures:#?}");
-    assert!(figures.to_peer < 3_000.0 && figures.to_usher < 1_000.0, "{figures:#?}");
+    assert!(figures.to_peer < 3_000.0 && figures.to_proxy < 1_000.0, "{figures:#?}");
     assert_eq!(figures.refused, 0, "{figures:#?}");
     let away: Vec<Option<u64>> = figures.returns.iter().map(|r| r.away).collect();
     assert_eq!(away, [Some(1), Some(10), Some(20), None]);
@@ -62,7 +62,7 @@
 #[test]
 fn a_wiped_voter_that_votes_on_is_noticed() {
     let text = "
-time  usher-a   usher-b   core-1        core-2  core-3
+time  proxy-a   proxy-b   core-1        core-2  core-3
 0.0   .         .         .             .       cut
 3.0   claim k   .         .             .       .
 3.3   .         .         wipe; start   .       join
@@ -86,7 +86,7 @@
     Breach::AnswersFromHeld,
     "a read gives",
     "
-time  usher-a   core-1                      core-2            core-3
+time  proxy-a   core-1                      core-2            core-3
 0.0   .         put 2 old                   .                 .
 0.5   .         cut core-2; cut core-3      put 6 new         .
 1.5   .         read                        .                 .
@@ -96,7 +96,7 @@
     Breach::AnswersFromHeld,
     "bodies are acknowledged under 5",
     "
-time  usher-a   core-1                      core-2            core-3
+time  proxy-a   core-1                      core-2            core-3
 0.0   .         put 5 left                  .                 .
 0.5   .         .                           put 5 right       .
 "
@@ -105,7 +105,7 @@
     Breach::KeepsNoHistory,
     "bodies are acknowledged under 5",
     "
-time  usher-a   core-1                      core-2            core-3
+time  proxy-a   core-1                      core-2            core-3
 0.0   .         put 5 left                  .                 .
 0.5   .         .                           put 9 x           .
 1.0   .         .                           .                 put 5 right
@@ -115,7 +115,7 @@
     Breach::StaysSure,
     "vouches for 2",
     "
-time  usher-a   core-1                      core-2            core-3
+time  proxy-a   core-1                      core-2            core-3
 0.0   .         put 2 old                   .                 .
 0.5   .         cut core-2; cut core-3      put 6 new         .
 4.0   kill      .                           .                 .
@@ -127,7 +127,7 @@
     Breach::StaysSure,
     "vouches for 2",
     "
-time  usher-a   core-1                      core-2            core-3
+time  proxy-a   core-1                      core-2            core-3
 0.0   .         put 2 old                   .                 .
 0.5   .         freeze                      put 6 new         .
 3.5   kill      .                           .                 .
@@ -139,7 +139,7 @@
     Breach::AnswersLate,
     "has not answered",
     "
-time  usher-a   core-1                      core-2            core-3
+time  proxy-a   core-1                      core-2            core-3
 0.0   .         put 2 old                   .                 .
 0.5   .         cut core-2; cut core-3      .                 .
 0.6   .         put 4 new                   .                 .
@@ -157,7 +157,7 @@
 #[test]
 fn a_text_taken_whatever_its_digest_says_is_noticed() {
     let text = "
-time  usher-a  core-1       core-2  core-3
+time  proxy-a  core-1       core-2  core-3
 0.0   .        storm 1 9    .       .
 1.0   forget   .            .       .
 1.1   .        storm 10 11  .       .
@@ -215,7 +215,7 @@
 #[test]
 fn a_seal_that_is_not_kept_is_noticed() {
     let text = "
-time  usher-a     usher-b                 core-1  core-2                  core-3                              core-4-
+time  proxy-a     proxy-b                 core-1  core-2                  core-3                              core-4-
 0.0   .           cut core-2; cut core-4; kill  .  .                      cut core-1; cut core-2; cut core-4  start
 9.0   cut core-1  .                       .       .                       .                                   votes
 9.5   claim k     .                       .       .                       .                                   .
@@ -231,7 +231,7 @@
 #[test]
 fn a_member_that_votes_before_it_has_installed_is_noticed() {
     let text = "
-time  usher-a     usher-b     core-1  core-2      core-3  core-4-
+time  proxy-a     proxy-b     core-1  core-2      core-3  core-4-
 0.0   cut core-3  .           .       .           .       .
 3.0   claim k     .           .       .           .       .
 3.5   answer k run-1  .       .       .           .       .
@@ -247,7 +247,7 @@
 #[test]
 fn votes_of_another_set_that_count_are_noticed() {
     let text = "
-time  usher-a     usher-b                 core-1  core-2  core-3                              core-4-
+time  proxy-a     proxy-b                 core-1  core-2  core-3                              core-4-
 0.0   kill        cut core-2; cut core-4  .       .       cut core-1; cut core-2; cut core-4  start
 9.0   cut core-1; start  .                .       .       .                                   votes
 9.5   claim k     .                       .       .       .                                   .
@@ -261,7 +261,7 @@
 #[test]
 fn one_that_leaves_without_handing_over_is_noticed() {
     let text = "
-time  usher-a   core-1   core-2   core-3
+time  proxy-a   core-1   core-2   core-3
 0.0   .         .        .        cut
 0.2   claim k   put 4 x  .        .
 3.0   answer k run-1  acked 4  .  join
--- a/crates/mesh-config/tests/agreement.rs
+++ b/crates/mesh-config/tests/agreement.rs
@@ -53,7 +53,7 @@
 #[derive(Default)]
 struct World {
     now: Micros,
-    lives: u64,
+    incarnations: u64,
     next: u64,
     processes: Vec<Process>,
     voters: Vec<Seat>,
@@ -61,7 +61,7 @@
     calls: BTreeMap<u64, Call>,
     acked: BTreeSet<(u64, String)>,
     refused: BTreeSet<(u64, String)>,
-    told: BTreeMap<u64, String>,
+    acknowledged: BTreeMap<u64, String>,
     given_up: u64,
     /// Which body was taken under older numbers is not kept: the planted breach.
     forgets: bool,
@@ -73,11 +73,11 @@
 }
 
 fn disk(voter: &Acceptor) -> DurableState {
-    let (incarnation, lives) = (voter.incarnation(), voter.known_incarnations());
+    let (incarnation, incarnations) = (voter.incarnation(), voter.known_incarnations());
     let kept = voter.space(&proposer::config_space()).cloned().unwrap_or_default();
     DurableState {
         incarnation: incarnation,
-        known_incarnations: lives.clone(),
+        known_incarnations: incarnations.clone(),
         spaces: vec![(proposer::config_space(), kept.promised, kept.entries, kept.lease).into()],
     }
 }
@@ -94,8 +94,11 @@
     }
 
     fn process(&mut self) -> Process {
-        self.lives += 1;
-        Process { proposer: Proposer::new(TERMS, ContenderId(self.lives)), incarnation: self.lives }
+        self.incarnations += 1;
+        Process {
+            proposer: Proposer::new(TERMS, ContenderId(self.incarnations)),
+            incarnation: self.incarnations,
+        }
     }
 
     fn effects(&mut self, at: usize, effects: Vec<Effect>) {
@@ -106,7 +109,7 @@
                 }
                 Effect::Chosen { config: None, .. } => {}
                 Effect::Chosen { config: Some(held), .. } => {
-                    let first = self.told.entry(held.version).or_insert_with(|| held.body.clone());
+                    let first = self.acknowledged.entry(held.version).or_insert_with(|| held.body.clone());
                     if *first != held.body {
                         self.violation = Some(format!("two bodies are told under {}", held.version));
                     }
@@ -346,7 +349,7 @@
 #[case::field_and_text(r#"{"ab":"c"}"#, r#"{"a":"bc"}"#, false)]
 #[case::yes_and_no(r#"{"a":true}"#, r#"{"a":false}"#, false)]
 #[case::no_json("{x", "{ x", false)]
-fn a_digest_goes_by_what_is_said(#[case] left: &str, #[case] right: &str, #[case] same: bool) {
+fn a_digest_goes_by_what_is_stated(#[case] left: &str, #[case] right: &str, #[case] same: bool) {
     let (left, right) = (Digest::of(left.as_bytes()), Digest::of(right.as_bytes()));
     assert_eq!(left == right, same);
     assert_eq!(Digest::parse(&left.to_string()), Some(left));
@@ -397,8 +400,8 @@
 #[test]
 fn a_text_that_is_no_value_is_none_and_never_a_panic() {
     fn property(text: String, at: usize) -> bool {
-        let whole = held(7, "x").0;
-        let mut torn = RegisterValue::new(whole, Digest::of(b"{}")).to_text();
+        let complete = held(7, "x").0;
+        let mut torn = RegisterValue::new(complete, Digest::of(b"{}")).to_text();
         torn.truncate(at % (torn.len() + 1));
         drop((RegisterValue::parse(&text), VersionedConfig::parse(&text), VersionedConfig::parse(&torn)));
         RegisterValue::parse(&torn).is_none() || torn.contains('\n')
--- a/crates/mesh-protocol/src/snapshot.rs
+++ b/crates/mesh-protocol/src/snapshot.rs
@@ -1,138 +1,154 @@
-//! A snapshot as bytes, in a file or on its way: its digest, its length, and the message, packed. On its way it goes in pieces that the
-//! receiver asks for by id and offset, one after the other; after an interruption it asks on from what it has, at whoever has the same.
-//! Nothing of it counts before all of it is here and has the digest that stands in front.
+//! A snapshot as bytes, in a file or on its way: its digest, its length, and the message, compressed.
+//!
+//! On its way it goes in chunks that the receiver asks for by id and offset, one after the other; after an interruption it asks on from
+//! what it has, at whoever has the same. Nothing of it counts before all of it is here and has the digest that stands in front.
 use bytes::Bytes;
 use prost::Message;
 
-use crate::difference::{self, MOST};
-use crate::{More, Piece, Snapshot};
+use crate::delta::{self, MAX_PACKED_BYTES};
+use crate::{Snapshot, SnapshotChunk, SnapshotRequest};
 
-/// Bytes of one piece at most.
-pub const PIECE: usize = 64 << 10;
+/// Bytes of one chunk at most.
+pub const MAX_CHUNK_BYTES: usize = 64 << 10;
+const DIGEST_BYTES: usize = 16;
+const LENGTH_BYTES: usize = 4;
 /// What stands in front: digest of the message, its length.
-const HEAD: usize = 16 + 4;
+const HEAD_BYTES: usize = DIGEST_BYTES + LENGTH_BYTES;
 
-/// None where it is too large.
+/// The snapshot as bytes; `None` where it is too large.
 pub fn encode(snapshot: &Snapshot) -> Option<Vec<u8>> {
     let message = snapshot.encode_to_vec();
-    let packed = difference::pack(&message)?;
-    let mut all = Vec::with_capacity(HEAD + packed.len());
-    all.extend_from_slice(&difference::digest(&message));
-    all.extend_from_slice(&(message.len() as u32).to_be_bytes());
-    all.extend_from_slice(&packed);
-    Some(all)
+    let packed = delta::pack(&message)?;
+    let mut encoded = Vec::with_capacity(HEAD_BYTES + packed.len());
+    encoded.extend_from_slice(&delta::digest(&message));
+    encoded.extend_from_slice(&(message.len() as u32).to_be_bytes());
+    encoded.extend_from_slice(&packed);
+    Some(encoded)
 }
 
-/// None where it is not whole, or not what its digest says.
-pub fn decode(all: &[u8]) -> Option<Snapshot> {
-    let (head, packed) = all.split_at_checked(HEAD)?;
-    let length = u32::from_be_bytes(*head.last_chunk::<4>()?) as usize;
-    let message = difference::unpack(length, packed)?;
-    (difference::digest(&message) == head[..16]).then(|| Snapshot::decode(&message[..]).ok())?
+/// The snapshot in these bytes; `None` where they are incomplete, or not what their digest says.
+pub fn decode(encoded: &[u8]) -> Option<Snapshot> {
+    let (head, packed) = encoded.split_at_checked(HEAD_BYTES)?;
+    let length = u32::from_be_bytes(*head.last_chunk::<LENGTH_BYTES>()?) as usize;
+    let message = delta::unpack(length, packed)?;
+    let intact = delta::digest(&message) == head[..DIGEST_BYTES];
+    intact.then(|| Snapshot::decode(&message[..]).ok())?
 }
 
 /// The sending end: holds one snapshot for as long as somebody may ask on.
 #[derive(Clone, Debug)]
-pub struct Sending {
+pub struct SnapshotSender {
     id: Bytes,
-    all: Bytes,
+    encoded: Bytes,
 }
 
-impl Sending {
-    /// None where it is too large.
-    pub fn open(snapshot: &Snapshot) -> Option<Sending> {
-        let all = encode(snapshot)?;
-        Some(Sending { id: Bytes::copy_from_slice(&difference::digest(&all)), all: all.into() })
+impl SnapshotSender {
+    /// Holds this snapshot; `None` where it is too large.
+    pub fn new(snapshot: &Snapshot) -> Option<SnapshotSender> {
+        let encoded = encode(snapshot)?;
+        let id = Bytes::copy_from_slice(&delta::digest(&encoded));
+        Some(SnapshotSender { id, encoded: encoded.into() })
     }
 
+    /// Digest of the encoded snapshot.
     pub fn id(&self) -> &Bytes {
         &self.id
     }
 
-    /// Bytes of the whole as it goes.
+    /// Bytes of the encoded snapshot.
     pub fn size(&self) -> usize {
-        self.all.len()
+        self.encoded.len()
     }
 
-    /// What is asked for. Who asks for another snapshot is told this one from its start.
-    pub fn piece(&self, more: &More) -> Piece {
-        let total = self.all.len();
-        let at = usize::try_from(more.offset).unwrap_or(usize::MAX);
-        let at = if more.id == self.id && at < total { at } else { 0 };
-        let bytes = self.all.slice(at..total.min(at + PIECE));
-        Piece { id: self.id.clone(), offset: at as u64, total: total as u64, bytes }
+    /// The chunk that is asked for. Who asks for another snapshot gets this one from its start.
+    pub fn chunk(&self, request: &SnapshotRequest) -> SnapshotChunk {
+        let total = self.encoded.len();
+        let offset = usize::try_from(request.offset).unwrap_or(usize::MAX);
+        let offset = if request.id == self.id && offset < total { offset } else { 0 };
+        let bytes = self.encoded.slice(offset..total.min(offset + MAX_CHUNK_BYTES));
+        SnapshotChunk { id: self.id.clone(), offset: offset as u64, total_bytes: total as u64, bytes }
     }
 
-    /// All of it in order.
-    pub fn pieces(&self) -> impl Iterator<Item = Piece> {
-        let more = |n: usize| More { id: self.id.clone(), offset: (n * PIECE) as u64 };
-        (0..self.all.len().div_ceil(PIECE)).map(move |n| self.piece(&more(n)))
+    /// All chunks in order.
+    pub fn chunks(&self) -> impl Iterator<Item = SnapshotChunk> {
+        let request =
+            |n: usize| SnapshotRequest { id: self.id.clone(), offset: (n * MAX_CHUNK_BYTES) as u64 };
+        (0..self.encoded.len().div_ceil(MAX_CHUNK_BYTES)).map(move |n| self.chunk(&request(n)))
     }
 }
 
-/// What became of a piece.
+/// What became of a chunk.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Step {
+pub enum Progress {
     /// It was taken: this is asked for next.
-    More(More),
+    Continue(SnapshotRequest),
     /// All is here and is what it was sent as.
-    Whole(Box<Snapshot>),
+    Complete(Box<Snapshot>),
     /// It was thrown away; this is asked for.
-    Refused(More),
+    Rejected(SnapshotRequest),
 }
 
 /// The receiving end. It holds no more than what has come of one snapshot, and no more than the limit.
 #[derive(Clone, Debug, Default)]
-pub struct Assembly {
+pub struct SnapshotReceiver {
     id: Bytes,
     total: usize,
-    got: Vec<u8>,
-    pub refused: u64,
+    received: Vec<u8>,
+    /// Chunks thrown away.
+    pub rejected: u64,
 }
 
-impl Assembly {
+impl SnapshotReceiver {
     /// What is missing next; to be sent after each connection, and again where nothing comes.
-    pub fn ask(&self) -> More {
-        More { id: self.id.clone(), offset: self.got.len() as u64 }
+    pub fn request(&self) -> SnapshotRequest {
+        SnapshotRequest { id: self.id.clone(), offset: self.received.len() as u64 }
     }
 
     /// Bytes that are here.
     pub fn size(&self) -> usize {
-        self.got.len()
+        self.received.len()
     }
 
-    pub fn hear(&mut self, piece: Piece) -> Step {
-        let total = usize::try_from(piece.total).unwrap_or(usize::MAX);
-        let sound =
-            piece.id.len() == 16 && total <= MOST && !piece.bytes.is_empty() && piece.bytes.len() <= PIECE;
-        if !sound {
-            return self.refuse();
+    /// Takes a chunk.
+    pub fn on_chunk(&mut self, chunk: SnapshotChunk) -> Progress {
+        let total = usize::try_from(chunk.total_bytes).unwrap_or(usize::MAX);
+        let valid = chunk.id.len() == DIGEST_BYTES
+            && total <= MAX_PACKED_BYTES
+            && (1..=MAX_CHUNK_BYTES).contains(&chunk.bytes.len());
+        if !valid {
+            return self.reject();
         }
-        if piece.id != self.id && piece.offset == 0 {
+        if chunk.id != self.id && chunk.offset == 0 {
             // The other end has another one by now: it is begun anew.
-            *self = Assembly { id: piece.id.clone(), total, got: Vec::new(), refused: self.refused };
+            let rejected = self.rejected;
+            *self = SnapshotReceiver { id: chunk.id.clone(), total, received: Vec::new(), rejected };
         }
-        let fits = piece.id == self.id
+        let fits = chunk.id == self.id
             && total == self.total
-            && piece.offset == self.got.len() as u64
-            && self.got.len() + piece.bytes.len() <= total;
+            && chunk.offset == self.received.len() as u64
+            && self.received.len() + chunk.bytes.len() <= total;
         if !fits {
-            return self.refuse();
+            return self.reject();
         }
-        self.got.extend_from_slice(&piece.bytes);
-        if self.got.len() < total {
-            return Step::More(self.ask());
+        self.received.extend_from_slice(&chunk.bytes);
+        if self.received.len() < total {
+            return Progress::Continue(self.request());
         }
-        let (all, id) = (std::mem::take(&mut self.got), std::mem::take(&mut self.id));
+        self.complete()
+    }
+
+    fn complete(&mut self) -> Progress {
+        let encoded = std::mem::take(&mut self.received);
+        let id = std::mem::take(&mut self.id);
         self.total = 0;
-        match decode(&all).filter(|_| difference::digest(&all) == id[..]) {
-            Some(snapshot) => Step::Whole(Box::new(snapshot)),
-            None => self.refuse(),
+        match decode(&encoded).filter(|_| delta::digest(&encoded) == id[..]) {
+            Some(snapshot) => Progress::Complete(Box::new(snapshot)),
+            None => self.reject(),
         }
     }
 
-    fn refuse(&mut self) -> Step {
-        self.refused += 1;
-        Step::Refused(self.ask())
+    fn reject(&mut self) -> Progress {
+        self.rejected += 1;
+        Progress::Rejected(self.request())
     }
 }
--- a/crates/mesh-protocol/tests/frames.rs
+++ b/crates/mesh-protocol/tests/frames.rs
@@ -1,21 +1,24 @@
 //! How messages lie on a connection.
 use bytes::{BufMut, BytesMut};
-use notchspool_mesh_protocol::{Ping, Want, What, Wrong, read, write};
+use notchspool_mesh_protocol::{ConfigRequest, FrameError, Payload, Ping, decode, encode};
 
 #[test]
-fn a_frame_comes_whole_or_not_at_all() {
+fn a_frame_comes_full_or_not_at_all() {
     let mut all = BytesMut::new();
-    write(What::Ping(Ping { number: 7 }), &mut all);
-    write(What::Want(Want { version: 9 }), &mut all);
+    encode(Payload::Ping(Ping { number: 7 }), &mut all);
+    encode(Payload::ConfigRequest(ConfigRequest { version: 9 }), &mut all);
     let mut got = BytesMut::new();
     let mut seen = Vec::new();
     for byte in all.iter() {
         got.put_u8(*byte);
-        while let Some(what) = read(&mut got).unwrap() {
-            seen.push(what);
+        while let Some(payload) = decode(&mut got).unwrap() {
+            seen.push(payload);
         }
     }
-    assert_eq!(seen, [What::Ping(Ping { number: 7 }), What::Want(Want { version: 9 })]);
+    assert_eq!(
+        seen,
+        [Payload::Ping(Ping { number: 7 }), Payload::ConfigRequest(ConfigRequest { version: 9 })]
+    );
 }
 
 #[test]
@@ -32,21 +35,24 @@
         let mut got = BytesMut::new();
         got.put_u32(bytes.len() as u32);
         got.put_slice(bytes);
-        write(What::Ping(Ping { number: 7 }), &mut got);
-        assert!(matches!(read(&mut got), Err(Wrong::Form(_) | Wrong::Empty)), "{bytes:?}");
-        assert_eq!(read(&mut got).unwrap(), Some(What::Ping(Ping { number: 7 })), "{bytes:?}");
+        encode(Payload::Ping(Ping { number: 7 }), &mut got);
+        assert!(
+            matches!(decode(&mut got), Err(FrameError::Malformed(_) | FrameError::EmptyOrOverfull)),
+            "{bytes:?}"
+        );
+        assert_eq!(decode(&mut got).unwrap(), Some(Payload::Ping(Ping { number: 7 })), "{bytes:?}");
     }
 }
 
 #[test]
-fn any_bytes_are_a_message_an_error_or_not_yet_whole() {
+fn any_bytes_are_a_message_an_error_or_not_yet_full() {
     fn holds(bytes: Vec<u8>) -> bool {
         let mut from = BytesMut::from(&bytes[..]);
-        while let Ok(Some(_)) = read(&mut from) {}
+        while let Ok(Some(_)) = decode(&mut from) {}
         let mut framed = BytesMut::new();
         framed.put_u32(bytes.len() as u32);
         framed.put_slice(&bytes);
-        while let Ok(Some(_)) = read(&mut framed) {}
+        while let Ok(Some(_)) = decode(&mut framed) {}
         true
     }
     quickcheck::QuickCheck::new()
--- a/crates/mesh-protocol/tests/golden.rs
+++ b/crates/mesh-protocol/tests/golden.rs
@@ -1,7 +1,7 @@
 //! Frames recorded before the messages were renamed: each is read, and written again byte for byte. An upgrade runs with processes of
 //! both builds, so a renamed field must not have moved to another tag.
 use bytes::BytesMut;
-use notchspool_mesh_protocol::{read, write};
+use notchspool_mesh_protocol::{decode, encode};
 
 const FRAMES: &str = include_str!("golden/frames.txt");
 
@@ -16,10 +16,10 @@
         let (tag, hex) = line.split_once(' ').unwrap();
         let bytes = unhex(hex);
         let mut incoming = BytesMut::from(&bytes[..]);
-        let payload = read(&mut incoming).unwrap().unwrap();
+        let payload = decode(&mut incoming).unwrap().unwrap();
         assert!(incoming.is_empty(), "tag {tag}: bytes are left over");
         let mut outgoing = BytesMut::new();
-        write(payload, &mut outgoing);
+        encode(payload, &mut outgoing);
         assert_eq!(outgoing, bytes, "tag {tag}");
         tags.push(tag.parse::<u32>().unwrap());
     }
