--- a/crates/mesh-protocol/tests/snapshot.rs
+++ b/crates/mesh-protocol/tests/snapshot.rs
@@ -1,7 +1,9 @@
 //! A snapshot is whole or none, in a file and on its way.
 use bytes::Bytes;
-use notchspool_mesh_protocol::snapshot::{Assembly, PIECE, Sending, Step, decode, encode};
-use notchspool_mesh_protocol::{Ballot, Claim, More, Piece, Snapshot, Ticket};
+use notchspool_mesh_protocol::snapshot::{
+    MAX_CHUNK_BYTES, Progress, SnapshotReceiver, SnapshotSender, decode, encode,
+};
+use notchspool_mesh_protocol::{Ballot, Claim, Snapshot, SnapshotChunk, SnapshotRequest, Ticket};
 
 fn noise(n: usize) -> String {
     let mut state = 7u64;
@@ -13,20 +15,20 @@
 }
 
 fn snapshot(bytes: usize) -> Snapshot {
-    let ticket = |number| Some(Ticket { life: 1, number, turn: 0 });
+    let ticket = |number| Some(Ticket { boot_id: 1, number, attempt: 0 });
     let claim = |n: u64| Claim {
         key: format!("k-{n}"),
         ticket: ticket(n),
         holder: "h".into(),
-        holder_life: 1,
+        holder_boot_id: 1,
         ..Claim::default()
     };
     Snapshot {
         voter: 0,
-        set: 3,
-        seat: Bytes::from_static(b"{}"),
-        promised: Some(Ballot { round: 9, by: 7 }),
-        under: Some(Ballot { round: 8, by: 5 }),
+        set_number: 3,
+        membership: Bytes::from_static(b"{}"),
+        promised: Some(Ballot { round: 9, proposer: 7 }),
+        accepted_ballot: Some(Ballot { round: 8, proposer: 5 }),
         body: Some(format!("12\n{}", noise(bytes))),
         claims: (0..20).map(claim).collect(),
     }
@@ -47,84 +49,87 @@
 
 #[test]
 fn it_comes_in_pieces_and_goes_on_after_an_interruption_at_any_of_them() {
-    let wanted = snapshot(5 * PIECE);
-    let sending = Sending::open(&wanted).unwrap();
-    assert!(sending.pieces().count() > 4 && sending.pieces().all(|p| p.bytes.len() <= PIECE));
-    for lost in 0..sending.pieces().count() {
-        let mut assembly = Assembly::default();
-        let (mut more, mut asked) = (assembly.ask(), 0);
-        let whole = loop {
-            asked += 1;
-            if asked == lost + 1 {
+    let wanted = snapshot(5 * MAX_CHUNK_BYTES);
+    let sending = SnapshotSender::new(&wanted).unwrap();
+    assert!(sending.chunks().count() > 4 && sending.chunks().all(|p| p.bytes.len() <= MAX_CHUNK_BYTES));
+    for lost in 0..sending.chunks().count() {
+        let mut assembly = SnapshotReceiver::default();
+        let (mut more, mut requested) = (assembly.request(), 0);
+        let full = loop {
+            requested += 1;
+            if requested == lost + 1 {
                 // The answer to this one is lost with its connection: the same is asked for on the next.
-                let _ = sending.piece(&more);
-                assert_eq!(assembly.ask(), more);
-                assert_eq!(more.offset, (lost * PIECE) as u64);
+                let _ = sending.chunk(&more);
+                assert_eq!(assembly.request(), more);
+                assert_eq!(more.offset, (lost * MAX_CHUNK_BYTES) as u64);
             }
-            match assembly.hear(sending.piece(&more)) {
-                Step::More(next) => more = next,
-                Step::Whole(whole) => break whole,
-                Step::Refused(_) => panic!("refused"),
+            match assembly.on_chunk(sending.chunk(&more)) {
+                Progress::Continue(next) => more = next,
+                Progress::Complete(full) => break full,
+                Progress::Rejected(_) => panic!("refused"),
             }
         };
-        assert_eq!((*whole, asked), (wanted.clone(), sending.pieces().count()));
+        assert_eq!((*full, requested), (wanted.clone(), sending.chunks().count()));
     }
 }
 
 #[test]
 fn twice_out_of_order_and_of_another_one_are_refused_and_nothing_is_lost() {
-    let (one, other) =
-        (Sending::open(&snapshot(3 * PIECE)).unwrap(), Sending::open(&snapshot(2 * PIECE)).unwrap());
-    let pieces: Vec<Piece> = one.pieces().collect();
-    let mut assembly = Assembly::default();
-    assert!(matches!(assembly.hear(pieces[1].clone()), Step::Refused(_)), "not the first");
-    assert!(matches!(assembly.hear(pieces[0].clone()), Step::More(_)));
-    assert!(matches!(assembly.hear(pieces[0].clone()), Step::Refused(_)), "twice");
-    assert!(matches!(assembly.hear(pieces[2].clone()), Step::Refused(_)), "not the next");
-    let astray = other.piece(&More { id: other.pieces().next().unwrap().id, offset: PIECE as u64 });
-    assert!(matches!(assembly.hear(astray), Step::Refused(_)), "of another");
-    assert_eq!((assembly.size(), assembly.refused), (PIECE, 4));
-    let rest: Vec<Step> = pieces[1..].iter().cloned().map(|p| assembly.hear(p)).collect();
-    assert_eq!(rest.last(), Some(&Step::Whole(Box::new(snapshot(3 * PIECE)))));
+    let (one, other) = (
+        SnapshotSender::new(&snapshot(3 * MAX_CHUNK_BYTES)).unwrap(),
+        SnapshotSender::new(&snapshot(2 * MAX_CHUNK_BYTES)).unwrap(),
+    );
+    let chunks: Vec<SnapshotChunk> = one.chunks().collect();
+    let mut assembly = SnapshotReceiver::default();
+    assert!(matches!(assembly.on_chunk(chunks[1].clone()), Progress::Rejected(_)), "not the first");
+    assert!(matches!(assembly.on_chunk(chunks[0].clone()), Progress::Continue(_)));
+    assert!(matches!(assembly.on_chunk(chunks[0].clone()), Progress::Rejected(_)), "twice");
+    assert!(matches!(assembly.on_chunk(chunks[2].clone()), Progress::Rejected(_)), "not the next");
+    let astray = other
+        .chunk(&SnapshotRequest { id: other.chunks().next().unwrap().id, offset: MAX_CHUNK_BYTES as u64 });
+    assert!(matches!(assembly.on_chunk(astray), Progress::Rejected(_)), "of another");
+    assert_eq!((assembly.size(), assembly.rejected), (MAX_CHUNK_BYTES, 4));
+    let rest: Vec<Progress> = chunks[1..].iter().cloned().map(|p| assembly.on_chunk(p)).collect();
+    assert_eq!(rest.last(), Some(&Progress::Complete(Box::new(snapshot(3 * MAX_CHUNK_BYTES)))));
     // The sender has another by now: it is told from its start, and the old part is given up.
-    assert!(matches!(assembly.hear(pieces[0].clone()), Step::More(_)));
-    let more = assembly.ask();
-    let Step::More(next) = assembly.hear(other.piece(&more)) else { panic!("not begun anew") };
-    assert_eq!((next.offset, assembly.size()), (PIECE as u64, PIECE));
+    assert!(matches!(assembly.on_chunk(chunks[0].clone()), Progress::Continue(_)));
+    let more = assembly.request();
+    let Progress::Continue(next) = assembly.on_chunk(other.chunk(&more)) else { panic!("not begun anew") };
+    assert_eq!((next.offset, assembly.size()), (MAX_CHUNK_BYTES as u64, MAX_CHUNK_BYTES));
 }
 
 #[test]
-fn spoilt_pieces_and_sizes_over_the_limit_never_make_a_whole() {
-    let sending = Sending::open(&snapshot(2 * PIECE)).unwrap();
-    for spoilt in 0..sending.pieces().count() {
-        let mut assembly = Assembly::default();
-        let steps: Vec<Step> = sending
-            .pieces()
+fn spoilt_pieces_and_sizes_over_the_limit_never_make_a_full() {
+    let sending = SnapshotSender::new(&snapshot(2 * MAX_CHUNK_BYTES)).unwrap();
+    for spoilt in 0..sending.chunks().count() {
+        let mut assembly = SnapshotReceiver::default();
+        let steps: Vec<Progress> = sending
+            .chunks()
             .enumerate()
-            .map(|(n, mut piece)| {
+            .map(|(n, mut chunk)| {
                 if n == spoilt {
-                    let mut bytes = piece.bytes.to_vec();
+                    let mut bytes = chunk.bytes.to_vec();
                     let middle = bytes.len() / 2;
                     bytes[middle] ^= 0x55;
-                    piece.bytes = bytes.into();
+                    chunk.bytes = bytes.into();
                 }
-                assembly.hear(piece)
+                assembly.on_chunk(chunk)
             })
             .collect();
-        assert!(matches!(steps.last(), Some(Step::Refused(_))), "{spoilt}");
-        assert_eq!((assembly.size(), assembly.ask().offset), (0, 0), "it is asked for from the start");
+        assert!(matches!(steps.last(), Some(Progress::Rejected(_))), "{spoilt}");
+        assert_eq!((assembly.size(), assembly.request().offset), (0, 0), "it is asked for from the start");
     }
-    let mut assembly = Assembly::default();
-    let piece = sending.pieces().next().unwrap();
-    for wrong in [
-        Piece { total: u64::MAX, ..piece.clone() },
-        Piece { total: 1 << 30, ..piece.clone() },
-        Piece { bytes: Bytes::new(), ..piece.clone() },
-        Piece { bytes: vec![0; PIECE + 1].into(), ..piece.clone() },
-        Piece { id: Bytes::from_static(b"short"), ..piece.clone() },
-        Piece { total: 10, ..piece.clone() },
+    let mut assembly = SnapshotReceiver::default();
+    let chunk = sending.chunks().next().unwrap();
+    for bad in [
+        SnapshotChunk { total_bytes: u64::MAX, ..chunk.clone() },
+        SnapshotChunk { total_bytes: 1 << 30, ..chunk.clone() },
+        SnapshotChunk { bytes: Bytes::new(), ..chunk.clone() },
+        SnapshotChunk { bytes: vec![0; MAX_CHUNK_BYTES + 1].into(), ..chunk.clone() },
+        SnapshotChunk { id: Bytes::from_static(b"short"), ..chunk.clone() },
+        SnapshotChunk { total_bytes: 10, ..chunk.clone() },
     ] {
-        assert!(matches!(assembly.hear(wrong), Step::Refused(_)));
+        assert!(matches!(assembly.on_chunk(bad), Progress::Rejected(_)));
         assert_eq!(assembly.size(), 0);
     }
 }
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,86 +1,31 @@
-//! `usher`: the data plane on a `sidecar` machine. Told what to do by the settings file; see docs/mesh.md.
-use std::path::{Path, PathBuf};
+//! `notchspool-proxy`: the data plane on a `sidecar` machine. See docs/mesh.md.
+use std::path::Path;
 use std::process::ExitCode;
 
-use bpaf::{Parser, construct, long};
-use notchspool_runtime::signals::Signals;
-use notchspool_runtime::told::{Senseless, Told};
+use notchspool_data_plane::run::{self, Listeners};
+use notchspool_runtime::node_settings::{NodeSettings, SettingsError};
+use notchspool_runtime::program::Program;
 
-struct Opts {
-    settings: Option<PathBuf>,
-    check: bool,
-    verbose: bool,
-}
-
-fn opts() -> bpaf::OptionParser<Opts> {
-    let settings = long("settings")
-        .help("The settings file; by default the one that NOTCHSPOOL_SETTINGS names")
-        .argument::<PathBuf>("FILE")
-        .optional();
-    let check = long("check").help("Read and check the settings file, then end").switch();
-    let verbose = long("verbose").help("Log each connection that ends").switch();
-    construct!(Opts { settings, check, verbose }).to_options().descr("The data plane of the notchspool mesh")
-}
-
-fn told(file: &Path) -> Result<(Told, [std::net::SocketAddr; 3]), Senseless> {
-    let told = Told::read(file)?;
-    let at = |name: &str| told.listener(file, name);
-    let at = [at("outbound")?, at("readiness")?, at("controlPlane")?];
-    let missing = |field: &str| Senseless {
-        file: file.to_path_buf(),
-        field: field.into(),
-        why: "is missing for this role".into(),
+/// The listeners that the role must have; its backend and service must be named too.
+fn listeners(node: &NodeSettings, file: &Path) -> Result<Listeners, SettingsError> {
+    let listeners = Listeners {
+        outbound: node.listener(file, "outbound")?,
+        readiness: node.listener(file, "readiness")?,
+        control_plane: node.listener(file, "controlPlane")?,
     };
-    if told.app.is_none() {
-        return Err(missing("appAddress"));
+    if node.app_address.is_none() {
+        return Err(SettingsError::missing_for_role(file, "appAddress"));
     }
-    if told.service.is_empty() {
-        return Err(missing("service"));
+    if node.service.is_empty() {
+        return Err(SettingsError::missing_for_role(file, "service"));
     }
-    Ok((told, at))
+    Ok(listeners)
 }
 
 fn main() -> ExitCode {
-    // Before all else: a signal that comes early must not end the process.
-    let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
-        Ok(runtime) => runtime,
-        Err(e) => {
-            eprintln!("usher: no runtime: {e}");
-            return ExitCode::FAILURE;
-        }
-    };
-    let taken = runtime.block_on(async { Signals::take() });
-    let signals = match taken {
-        Ok(signals) => signals,
-        Err(e) => {
-            eprintln!("usher: no signals: {e}");
-            return ExitCode::FAILURE;
-        }
+    let program = Program {
+        name: "notchspool-proxy",
+        description: "The data plane of the notchspool mesh, beside a backend",
     };
-    let opts = opts().run();
-    notchspool_runtime::logs(if opts.verbose { log::LevelFilter::Debug } else { log::LevelFilter::Info });
-    let file = opts.settings.or_else(|| std::env::var_os("NOTCHSPOOL_SETTINGS").map(PathBuf::from));
-    let Some(file) = file else {
-        eprintln!("usher: NOTCHSPOOL_SETTINGS: names no settings file");
-        return ExitCode::from(2);
-    };
-    let (told, at) = match told(&file) {
-        Ok(all) => all,
-        Err(e) => {
-            eprintln!("usher: {e}");
-            return ExitCode::from(2);
-        }
-    };
-    if opts.check {
-        println!("{} is sound", file.display());
-        return ExitCode::SUCCESS;
-    }
-    let local = tokio::task::LocalSet::new();
-    match local.block_on(&runtime, notchspool_data_plane::run::run(told, file, at, signals)) {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            eprintln!("usher: {e}");
-            ExitCode::FAILURE
-        }
-    }
+    program.run(listeners, run::run)
 }
--- a/crates/proxy/tests/whole.rs
+++ b/crates/proxy/tests/whole.rs
@@ -1,4 +1,4 @@
-//! The whole path on loopback: one prompter, two ushers, stand-in backends. Whatever is waited for is asked for again till it is so, within
+//! The whole path on loopback: one replica, two proxies, stand-in backends. Whatever is waited for is asked for again till it is so, within
 //! a generous bound.
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -7,12 +7,14 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
+use notchspool_data_plane::run::Listeners;
+use notchspool_runtime::node_settings::NodeSettings;
+use notchspool_runtime::program::CheckedSettings;
 use notchspool_runtime::signals::Signals;
-use notchspool_runtime::told::Told;
 
 const BOUND: Duration = Duration::from_secs(30);
 
-fn told(ip: &str, data: Option<&Path>, seed: &str, service: &str) -> (PathBuf, Told) {
+fn told(ip: &str, data: Option<&Path>, seed: &str, service: &str) -> (PathBuf, NodeSettings) {
     let listen =
         r#"{"inbound":"IP:8300","outbound":"IP:8304","readiness":"IP:8302","controlPlane":"IP:8306"}"#;
     let data = data.map_or("null".to_string(), |d| format!("{:?}", d.display().to_string()));
@@ -24,7 +26,7 @@
     );
     let text = text.replace(r#""retrySlack":60"#, r#""retrySlack=60""#);
     let file = PathBuf::from(ip);
-    let told = Told::of(&file, text.as_bytes()).unwrap();
+    let told = NodeSettings::parse(&file, text.as_bytes()).unwrap();
     (file, told)
 }
 
@@ -167,17 +169,21 @@
     let (file, of_core) = told(core, Some(&folder), core, "");
     let control = of_core.listener(&file, "controlPlane").unwrap();
     on_a_thread(move || async move {
-        let signals = Signals::take().unwrap();
-        notchspool_control_plane::house::run(of_core, file, control, signals).await.unwrap()
+        let signals = Signals::install().unwrap();
+        let settings = CheckedSettings { node: of_core, file, listeners: control };
+        notchspool_control_plane::server::run(settings, signals).await.unwrap()
     });
-    let ushers = ["127.77.2.1", "127.77.2.2"];
+    let proxies = ["127.77.2.1", "127.77.2.2"];
     let seen: Vec<Seen> =
-        ushers.iter().zip(["i-1", "i-2"]).map(|(ip, id)| backend(&format!("{ip}:8301"), id)).collect();
-    for ip in ushers {
+        proxies.iter().zip(["i-1", "i-2"]).map(|(ip, id)| backend(&format!("{ip}:8301"), id)).collect();
+    for ip in proxies {
         let (file, told) = told(ip, None, core, "s");
-        let at = ["outbound", "readiness", "controlPlane"].map(|name| told.listener(&file, name).unwrap());
+        let [outbound, readiness, control_plane] =
+            ["outbound", "readiness", "controlPlane"].map(|name| told.listener(&file, name).unwrap());
+        let listeners = Listeners { outbound, readiness, control_plane };
         on_a_thread(move || async move {
-            notchspool_data_plane::run::run(told, file, at, Signals::take().unwrap()).await.unwrap()
+            let settings = CheckedSettings { node: told, file, listeners };
+            notchspool_data_plane::run::run(settings, Signals::install().unwrap()).await.unwrap()
         });
     }
     let runs = |path: &str| -> usize {
@@ -193,12 +199,12 @@
     assert_eq!(rpc(core, "config.read", "").unwrap().2, CONFIG.as_bytes());
 
     until("beats are taken", || {
-        ushers.iter().zip(["i-1", "i-2"]).all(|(ip, id)| beat(ip, id, "ready", 1)).then_some(())
+        proxies.iter().zip(["i-1", "i-2"]).all(|(ip, id)| beat(ip, id, "ready", 1)).then_some(())
     });
-    assert_eq!(status(&rpc(ushers[0], "instances.heartbeat&of=i-1", "{").unwrap()), "400");
-    for ip in ushers {
+    assert_eq!(status(&rpc(proxies[0], "instances.heartbeat&of=i-1", "{").unwrap()), "400");
+    for ip in proxies {
         let ready = || call(&format!("{ip}:8302"), "GET /notchspool/ready HTTP/1.1\r\nhost: x", "");
-        until("an usher is ready", || ready().filter(|m| status(m) == "200"));
+        until("a proxy is ready", || ready().filter(|m| status(m) == "200"));
     }
 
     // Answers come from both backends, unchanged, with the calling service set here and nowhere else.
@@ -243,8 +249,8 @@
     assert_eq!(runs("/k/2"), 0);
 
     // Who drains gets nothing new once its part of the drain is over, and who is left takes all.
-    assert!(beat(ushers[1], "i-2", "draining", 2));
-    assert_eq!(status(&rpc(ushers[1], "instances.leave&of=i-2", "").unwrap()), "200");
+    assert!(beat(proxies[1], "i-2", "draining", 2));
+    assert_eq!(status(&rpc(proxies[1], "instances.leave&of=i-2", "").unwrap()), "200");
     let before = seen[1].lock().unwrap().len();
     for n in 0..20 {
         assert_eq!(status(&request("/a/2", &format!("t-2{n}"), "").unwrap()), "200");
--- a/crates/runtime/src/signals.rs
+++ b/crates/runtime/src/signals.rs
@@ -1,13 +1,13 @@
-//! Signals that a process of the mesh bears from its first line on, and a settings file that changes with or without one.
+//! Signals that a process of the mesh handles from its first line on, and a settings file that changes with or without one.
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime};
 
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
 /// How often the settings file is looked at where no signal has come.
-const LOOK: Duration = Duration::from_secs(2);
+const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Taken before anything else is done: until then SIGHUP would end the process.
+/// The handlers. Installed before anything else is done: until then SIGHUP would end the process.
 pub struct Signals {
     terminate: Signal,
     hangup: Signal,
@@ -19,42 +19,45 @@
     /// To end in order.
     Terminate,
     /// To read its settings again.
-    Reread,
+    Reload,
 }
 
 impl Signals {
-    /// Needs a runtime of tokio around it. Writing to a closed pipe is an error, never a signal, by the standard library's own start.
-    pub fn take() -> std::io::Result<Signals> {
+    /// Installs the handlers; needs a runtime of tokio around it.
+    ///
+    /// Writing to a closed pipe is an error, never a signal, by the standard library's own start.
+    pub fn install() -> std::io::Result<Signals> {
         Ok(Signals { terminate: signal(SignalKind::terminate())?, hangup: signal(SignalKind::hangup())? })
     }
 
     /// Watches the settings file from now on.
-    pub fn watch(self, file: &Path) -> Watched {
-        Watched { signals: self, file: file.to_path_buf(), seen: modified(file) }
+    pub fn watch(self, file: &Path) -> ProcessEvents {
+        ProcessEvents { signals: self, file: file.to_path_buf(), modified_at: modified_at(file) }
     }
 }
 
-pub struct Watched {
+/// Signals, and changes of the settings file.
+pub struct ProcessEvents {
     signals: Signals,
     file: PathBuf,
-    seen: Option<SystemTime>,
+    modified_at: Option<SystemTime>,
 }
 
-impl Watched {
+impl ProcessEvents {
     /// Waits for the next event. Signals that came together count once.
     pub async fn next(&mut self) -> Event {
         loop {
             tokio::select! {
                 _ = self.signals.terminate.recv() => return Event::Terminate,
                 _ = self.signals.hangup.recv() => {
-                    self.seen = modified(&self.file);
-                    return Event::Reread;
+                    self.modified_at = modified_at(&self.file);
+                    return Event::Reload;
                 }
-                () = tokio::time::sleep(LOOK) => {
-                    let now = modified(&self.file);
-                    if now != self.seen {
-                        self.seen = now;
-                        return Event::Reread;
+                () = tokio::time::sleep(POLL_INTERVAL) => {
+                    let modified_at = modified_at(&self.file);
+                    if modified_at != self.modified_at {
+                        self.modified_at = modified_at;
+                        return Event::Reload;
                     }
                 }
             }
@@ -62,6 +65,6 @@
     }
 }
 
-fn modified(file: &Path) -> Option<SystemTime> {
-    std::fs::metadata(file).and_then(|m| m.modified()).ok()
+fn modified_at(file: &Path) -> Option<SystemTime> {
+    std::fs::metadata(file).and_then(|metadata| metadata.modified()).ok()
 }
--- a/crates/runtime/tests/told.rs
+++ b/crates/runtime/tests/node_settings.rs
@@ -2,7 +2,7 @@
 use std::path::Path;
 
 use notchspool::units::Micros;
-use notchspool_runtime::told::Told;
+use notchspool_runtime::node_settings::NodeSettings;
 
 const SOUND: &str = r#"{"node":"sidecar-a-1","zone":"a","ipAddress":"10.1.0.8","portRange":[7620,7635],
     "listenAddresses":{"inbound":"10.1.0.8:8300"},"seedNodes":["10.1.0.14:8306"],"firstStart":true,"dataPath":null,
@@ -10,10 +10,10 @@
 
 #[test]
 fn a_file_is_read_and_what_is_unknown_ignored() {
-    let told = Told::of(Path::new("node.json"), SOUND.as_bytes()).unwrap();
-    assert_eq!(told.inner(), "10.1.0.8:7620");
-    assert_eq!(told.inner_of(&told.seeds[0]), "10.1.0.14:7620");
-    assert_eq!((told.bounds.drain, told.bounds.retry_ratio), (Micros::ms(2_000), 0.2));
+    let settings = NodeSettings::parse(Path::new("node.json"), SOUND.as_bytes()).unwrap();
+    assert_eq!(settings.peer_address(), "10.1.0.8:7620");
+    assert_eq!(settings.peer_address_of(&settings.seeds[0]), "10.1.0.14:7620");
+    assert_eq!((settings.bounds.drain, settings.bounds.retry_ratio), (Micros::ms(2_000), 0.2));
 }
 
 #[test]
@@ -30,10 +30,14 @@
     ];
     for (old, new, field) in rows {
         assert!(SOUND.contains(old), "{old}");
-        let wrong = Told::of(Path::new("node.json"), SOUND.replacen(old, new, 1).as_bytes()).unwrap_err();
-        assert_eq!(wrong.field, field, "{wrong}");
+        let error =
+            NodeSettings::parse(Path::new("node.json"), SOUND.replacen(old, new, 1).as_bytes()).unwrap_err();
+        assert_eq!(error.field, field, "{error}");
     }
     for end in 0..SOUND.len() {
-        assert!(Told::of(Path::new("node.json"), &SOUND.as_bytes()[..end]).is_err(), "cut at {end}");
+        assert!(
+            NodeSettings::parse(Path::new("node.json"), &SOUND.as_bytes()[..end]).is_err(),
+            "cut at {end}"
+        );
     }
 }
--- a/crates/storage/tests/golden.rs
+++ b/crates/storage/tests/golden.rs
@@ -7,8 +7,8 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use notchspool_storage::shelf::Shelf;
-use notchspool_storage::{Deed, Found, Trapdoor};
+use notchspool_storage::file_store::FileStore;
+use notchspool_storage::{Recovered, Storage, WriteOp};
 use prost::Message;
 
 const WINDOW: Duration = Duration::from_secs(60);
@@ -46,7 +46,7 @@
 }
 
 /// All that was found, without the names that the code has for it.
-fn described(found: &Found) -> String {
+fn described(found: &Recovered) -> String {
     let mut claims: Vec<String> = found
         .claims
         .iter()
@@ -55,11 +55,11 @@
     claims.sort();
     format!(
         "seat {}\npromised {}\naccepted {}\nclaims {}\ntorn {}\n",
-        serde_json::to_string(&found.seat).unwrap(),
+        serde_json::to_string(&found.membership).unwrap(),
         serde_json::to_string(&found.promised).unwrap(),
-        serde_json::to_string(&found.entry).unwrap(),
+        serde_json::to_string(&found.accepted).unwrap(),
         claims.join(" "),
-        found.torn.join(" "),
+        found.torn_files.join(" "),
     )
 }
 
@@ -69,11 +69,11 @@
     let mut all = String::new();
     for name in ["seated", "installed", "older"] {
         let disk = Copy::of(name, "read");
-        let (trapdoor, found) = Trapdoor::open(&disk.0, WINDOW).unwrap();
+        let (storage, found) = Storage::open(&disk.0, WINDOW).unwrap();
         all += &format!("{name}\n{}", described(&found));
-        drop(trapdoor);
+        drop(storage);
         // Carried out and left alone, it holds the same; a snapshot's claims come with it once, then from the log.
-        let (_, again) = Trapdoor::open(&disk.0, WINDOW).unwrap();
+        let (_, again) = Storage::open(&disk.0, WINDOW).unwrap();
         assert_eq!(described(&again), described(&found), "{name}");
     }
     assert_eq!(all, expected);
@@ -82,20 +82,23 @@
 #[test]
 fn what_was_found_is_written_again_in_the_same_form() {
     let disk = Copy::of("seated", "written");
-    let (mut trapdoor, found) = Trapdoor::open(&disk.0, WINDOW).unwrap();
+    let (mut storage, found) = Storage::open(&disk.0, WINDOW).unwrap();
     let files = ["seat", "promise", "word-8"];
     let before = files.map(|name| std::fs::read(disk.0.join(name)).unwrap());
     files.iter().for_each(|name| std::fs::remove_file(disk.0.join(name)).unwrap());
-    let deeds =
-        [Deed::Word(8, found.entry.unwrap()), Deed::Promise(found.promised), Deed::Seat(found.seat.unwrap())];
-    trapdoor.write(&deeds).unwrap();
+    let batch = [
+        WriteOp::Accept { version: 8, entry: found.accepted.unwrap() },
+        WriteOp::Promise(found.promised),
+        WriteOp::Membership(found.membership.unwrap()),
+    ];
+    storage.write(&batch).unwrap();
     assert_eq!(files.map(|name| std::fs::read(disk.0.join(name)).unwrap()), before);
 }
 
 #[test]
 fn a_recorded_snapshot_is_encoded_again_byte_for_byte() {
     let disk = Copy::of("installed", "snapshot");
-    let bytes = Shelf::open(&disk.0).unwrap().get("installed").unwrap().unwrap();
+    let bytes = FileStore::open(&disk.0).unwrap().get("installed").unwrap().unwrap();
     let snapshot = notchspool_mesh_protocol::snapshot::decode(&bytes).unwrap();
     assert_eq!(notchspool_mesh_protocol::snapshot::encode(&snapshot).unwrap(), bytes);
 }
--- a/crates/storage/tests/install.rs
+++ b/crates/storage/tests/install.rs
@@ -6,8 +6,8 @@
 use notchspool_consensus::{Ballot, ContenderId, Entry};
 use notchspool_mesh_protocol::snapshot::encode;
 use notchspool_mesh_protocol::{Claim, Snapshot, Ticket};
-use notchspool_storage::shelf::sealed;
-use notchspool_storage::{Deed, Found, Seat, Trapdoor};
+use notchspool_storage::file_store::with_checksum;
+use notchspool_storage::{MembershipRecord, Recovered, Storage, WriteOp};
 
 const WINDOW: Duration = Duration::from_secs(60);
 
@@ -15,40 +15,51 @@
     Ballot { round, by: ContenderId(1), ..Ballot::default() }
 }
 
-fn word(version: u64, round: u64) -> Deed {
-    Deed::Word(version, Entry { ballot: ballot(round), sequence: 1, value: format!("{version}\nbody") })
+fn word(version: u64, round: u64) -> WriteOp {
+    WriteOp::Accept {
+        version,
+        entry: Entry { ballot: ballot(round), sequence: 1, value: format!("{version}\nbody") },
+    }
 }
 
-fn claim(key: &str) -> Deed {
-    let ticket = Some(Ticket { life: 1, number: 1, turn: 0 });
-    Deed::Claim(Claim { key: key.into(), ticket, holder: "h".into(), holder_life: 1, ..Claim::default() })
+fn claim(key: &str) -> WriteOp {
+    let ticket = Some(Ticket { boot_id: 1, number: 1, attempt: 0 });
+    WriteOp::Claim(Claim {
+        key: key.into(),
+        ticket,
+        holder: "h".into(),
+        holder_boot_id: 1,
+        ..Claim::default()
+    })
 }
 
-fn seat(number: u64) -> Deed {
+fn seat(number: u64) -> WriteOp {
     let set = VoterSet { number, ..VoterSet::first(&["10.0.0.1:1".into()]) };
-    Deed::Seat(Seat { incarnation: 5, set, ..Seat::default() })
+    WriteOp::Membership(MembershipRecord { incarnation: 5, set, ..MembershipRecord::default() })
 }
 
-fn withdraw(key: &str) -> Deed {
-    Deed::Withdraw(key.into(), Ticket { life: 1, number: 1, turn: 0 })
+fn withdraw(key: &str) -> WriteOp {
+    WriteOp::WithdrawClaim(key.into(), Ticket { boot_id: 1, number: 1, attempt: 0 })
 }
 
 fn snapshot(number: u64) -> Snapshot {
-    let told = |round| Some(notchspool_mesh_protocol::Ballot { round, by: 1 });
-    let (Deed::Seat(seat), Deed::Claim(claim)) = (seat(number), claim("new")) else { unreachable!() };
+    let promised = |round| Some(notchspool_mesh_protocol::Ballot { round, proposer: 1 });
+    let (WriteOp::Membership(seat), WriteOp::Claim(claim)) = (seat(number), claim("new")) else {
+        unreachable!()
+    };
     Snapshot {
-        set: number,
-        seat: serde_json::to_vec(&seat).unwrap().into(),
-        promised: told(4),
-        under: told(3),
+        set_number: number,
+        membership: serde_json::to_vec(&seat).unwrap().into(),
+        promised: promised(4),
+        accepted_ballot: promised(3),
         body: Some("7\nbody".into()),
         claims: vec![claim],
         voter: 0,
     }
 }
 
-fn install(number: u64) -> Deed {
-    Deed::Install(Box::new(snapshot(number)))
+fn install(number: u64) -> WriteOp {
+    WriteOp::InstallSnapshot(Box::new(snapshot(number)))
 }
 
 struct Folder(PathBuf);
@@ -58,11 +69,11 @@
         let _ = std::fs::remove_dir_all(&path);
         Folder(path)
     }
-    fn write(&self, deeds: &[Deed]) {
-        Trapdoor::open(&self.0, WINDOW).unwrap().0.write(deeds).unwrap();
+    fn write(&self, batch: &[WriteOp]) {
+        Storage::open(&self.0, WINDOW).unwrap().0.write(batch).unwrap();
     }
-    fn found(&self) -> Found {
-        Trapdoor::open(&self.0, WINDOW).unwrap().1
+    fn found(&self) -> Recovered {
+        Storage::open(&self.0, WINDOW).unwrap().1
     }
 }
 impl Drop for Folder {
@@ -71,29 +82,29 @@
     }
 }
 
-fn number(found: &Found) -> Option<u64> {
-    found.seat.as_ref().map(|s| s.set.number)
+fn number(found: &Recovered) -> Option<u64> {
+    found.membership.as_ref().map(|s| s.set.number)
 }
 
 #[test]
 fn what_an_older_set_left_does_not_come_back() {
     let folder = Folder::new("older");
     // Accepted under a high ballot by this one alone, and a key that others know nothing of.
-    folder.write(&[seat(1), Deed::Promise(ballot(40)), word(9, 40), claim("old")]);
+    folder.write(&[seat(1), WriteOp::Promise(ballot(40)), word(9, 40), claim("old")]);
     folder.write(&[claim("older"), withdraw("old"), withdraw("older"), install(5)]);
     let found = folder.found();
     assert_eq!((number(&found), found.promised), (Some(5), ballot(4)));
-    assert_eq!(found.entry.map(|e| e.ballot), Some(ballot(3)));
+    assert_eq!(found.accepted.map(|e| e.ballot), Some(ballot(3)));
     assert_eq!(found.claims.iter().map(|c| c.key.as_str()).collect::<Vec<_>>(), ["new"]);
 }
 
 #[test]
 fn half_of_it_changes_nothing() {
     let folder = Folder::new("half");
-    folder.write(&[seat(1), Deed::Promise(ballot(40)), word(9, 40), claim("old")]);
-    let whole = sealed(&encode(&snapshot(5)).unwrap());
-    for end in [0, 1, whole.len() / 2, whole.len() - 1] {
-        std::fs::write(folder.0.join("installed"), &whole[..end]).unwrap();
+    folder.write(&[seat(1), WriteOp::Promise(ballot(40)), word(9, 40), claim("old")]);
+    let complete = with_checksum(&encode(&snapshot(5)).unwrap());
+    for end in [0, 1, complete.len() / 2, complete.len() - 1] {
+        std::fs::write(folder.0.join("installed"), &complete[..end]).unwrap();
         let found = folder.found();
         assert_eq!(
             (number(&found), found.promised, found.claims.len()),
@@ -101,22 +112,22 @@
             "at {end}"
         );
     }
-    std::fs::write(folder.0.join("installed"), &whole).unwrap();
+    std::fs::write(folder.0.join("installed"), &complete).unwrap();
     let found = folder.found();
     assert_eq!((number(&found), found.promised), (Some(5), ballot(4)));
     assert!(found.claims.iter().any(|c| c.key == "new"));
 }
 
 #[test]
-fn one_that_goes_on_keeps_its_seat_till_the_next_is_there() {
+fn a_voter_that_goes_on_keeps_its_membership_until_the_next_is_there() {
     let folder = Folder::new("next");
-    folder.write(&[seat(1), Deed::Promise(ballot(2)), word(3, 2), claim("own")]);
+    folder.write(&[seat(1), WriteOp::Promise(ballot(2)), word(3, 2), claim("own")]);
     folder.write(&[claim("told")]);
     assert_eq!(number(&folder.found()), Some(1));
-    folder.write(&[word(4, 3), Deed::Promise(ballot(3)), seat(2)]);
+    folder.write(&[word(4, 3), WriteOp::Promise(ballot(3)), seat(2)]);
     let found = folder.found();
     assert_eq!(
-        (number(&found), found.claims.len(), found.entry.map(|e| e.ballot)),
+        (number(&found), found.claims.len(), found.accepted.map(|e| e.ballot)),
         (Some(2), 2, Some(ballot(3)))
     );
 }
@@ -124,14 +135,14 @@
 #[test]
 fn a_seat_of_the_form_before_sets_had_numbers_is_set_1() {
     let folder = Folder::new("older-form");
-    folder.write(&[Deed::Promise(ballot(4)), word(7, 3), claim("own")]);
-    let text = br#"{"voters":["10.0.0.2:1","10.0.0.1:1","10.0.0.3:1"],"life":1,"lives":{"0":2}}"#;
-    std::fs::write(folder.0.join("seat"), sealed(text)).unwrap();
+    folder.write(&[WriteOp::Promise(ballot(4)), word(7, 3), claim("own")]);
+    let text = br#"{"voters":["10.0.0.2:1","10.0.0.1:1","10.0.0.3:1"],"boot_id":1,"lives":{"0":2}}"#;
+    std::fs::write(folder.0.join("seat"), with_checksum(text)).unwrap();
     let found = folder.found();
     let all = ["10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"].map(String::from);
-    let seat = found.seat.unwrap();
+    let seat = found.membership.unwrap();
     assert_eq!((seat.incarnation, seat.set, seat.previous), (0, VoterSet::first(&all), None));
-    assert_eq!((found.promised, found.entry.map(|e| e.ballot)), (ballot(4), Some(ballot(3))));
-    std::fs::write(folder.0.join("seat"), sealed(br#"{"voters":[]}"#)).unwrap();
-    assert_eq!(folder.found().seat, None);
+    assert_eq!((found.promised, found.accepted.map(|e| e.ballot)), (ballot(4), Some(ballot(3))));
+    std::fs::write(folder.0.join("seat"), with_checksum(br#"{"voters":[]}"#)).unwrap();
+    assert_eq!(folder.found().membership, None);
 }
--- a/crates/storage/tests/state.rs
+++ b/crates/storage/tests/power_loss.rs
@@ -8,10 +8,10 @@
 use notchspool_consensus::{Ballot, ContenderId, Entry, Token};
 use notchspool_mesh_protocol::snapshot::encode;
 use notchspool_mesh_protocol::{Claim, Snapshot, Ticket};
-use notchspool_storage::drive::Drive;
-use notchspool_storage::shelf::{Shelf, sealed};
-use notchspool_storage::state::State;
-use notchspool_storage::{Deed, Seat, Trapdoor};
+use notchspool_storage::directory::Directory;
+use notchspool_storage::file_store::{FileStore, with_checksum};
+use notchspool_storage::state_files::StateFiles;
+use notchspool_storage::{MembershipRecord, Storage, WriteOp};
 
 type Files = BTreeMap<String, Vec<u8>>;
 
@@ -78,7 +78,7 @@
     }
 }
 
-impl Drive for StandIn {
+impl Directory for StandIn {
     fn list(&self) -> Result<Vec<String>> {
         Ok(self.names())
     }
@@ -171,12 +171,12 @@
             .for_each(|(_, op)| turn(&mut names, op));
         for torn in 0..4 {
             let read = |at: &usize| {
-                let whole = &contents[at];
+                let complete = &contents[at];
                 match torn {
-                    _ if synced.contains(at) => whole.clone(),
-                    0 => whole.clone(),
-                    1 => whole[..whole.len() / 2].to_vec(),
-                    2 => vec![0; whole.len()],
+                    _ if synced.contains(at) => complete.clone(),
+                    0 => complete.clone(),
+                    1 => complete[..complete.len() / 2].to_vec(),
+                    2 => vec![0; complete.len()],
                     _ => Vec::new(),
                 }
             };
@@ -190,93 +190,96 @@
     Ballot { token: Token(0), round, by: ContenderId(7) }
 }
 
-fn seat(life: u64) -> Seat {
-    let set = VoterSet::first(&["a".into(), format!("b-{life}")]);
-    Seat { incarnation: life, set, ..Seat::default() }
+fn seat(boot_id: u64) -> MembershipRecord {
+    let set = VoterSet::first(&["a".into(), format!("b-{boot_id}")]);
+    MembershipRecord { incarnation: boot_id, set, ..MembershipRecord::default() }
 }
 
-fn word(version: u64, round: u64) -> Deed {
+fn word(version: u64, round: u64) -> WriteOp {
     let value = format!("{version}\n{{\"version\":{version}}}");
-    Deed::Word(version, Entry { ballot: ballot(round), sequence: 1, value })
+    WriteOp::Accept { version, entry: Entry { ballot: ballot(round), sequence: 1, value } }
 }
 
 /// What the voter begins with: seat, promise, version accepted.
-type View = (Option<Seat>, Ballot, Option<(Ballot, String)>);
+type View = (Option<MembershipRecord>, Ballot, Option<(Ballot, String)>);
 
-fn view(found: &notchspool_storage::Found) -> View {
-    (found.seat.clone(), found.promised, found.entry.as_ref().map(|e| (e.ballot, e.value.clone())))
+fn view(found: &notchspool_storage::Recovered) -> View {
+    (found.membership.clone(), found.promised, found.accepted.as_ref().map(|e| (e.ballot, e.value.clone())))
 }
 
 fn claim(key: &str) -> Claim {
-    let ticket = Some(Ticket { life: 1, number: 1, turn: 0 });
-    Claim { key: key.into(), ticket, holder: "h".into(), holder_life: 1, ..Claim::default() }
+    let ticket = Some(Ticket { boot_id: 1, number: 1, attempt: 0 });
+    Claim { key: key.into(), ticket, holder: "h".into(), holder_boot_id: 1, ..Claim::default() }
 }
 
 /// Of another set: its ballots and versions are lower than what it replaces.
 fn snapshot() -> Snapshot {
-    let told = |round| Some(notchspool_mesh_protocol::Ballot { round, by: 7 });
+    let promised = |round| Some(notchspool_mesh_protocol::Ballot { round, proposer: 7 });
     Snapshot {
         voter: 0,
-        set: 2,
-        seat: serde_json::to_vec(&seat(9)).unwrap().into(),
-        promised: told(3),
-        under: told(2),
+        set_number: 2,
+        membership: serde_json::to_vec(&seat(9)).unwrap().into(),
+        promised: promised(3),
+        accepted_ballot: promised(2),
         body: Some("2\n{\"version\":2}".into()),
         claims: vec![claim("k-1"), claim("k-2")],
     }
 }
 
 /// One step of what is done: a batch, a snapshot, its claims kept elsewhere.
-enum Do {
-    Write(Deed),
+enum Step {
+    Write(WriteOp),
     Install(Snapshot),
     /// A planted fault: its parts go to their files one after the other.
     Parts(Snapshot),
-    Done,
+    Finish,
 }
 
-fn steps() -> Vec<Do> {
-    let mut steps = vec![Do::Write(Deed::Seat(seat(1))), Do::Write(Deed::Promise(ballot(5)))];
-    steps.extend((1..=6).map(|v| Do::Write(word(v, 5 + v))));
-    steps.push(Do::Write(Deed::Promise(ballot(40))));
-    steps.extend([Do::Install(snapshot()), Do::Done]);
-    steps.push(Do::Write(Deed::Promise(ballot(4))));
-    steps.push(Do::Write(word(8, 4)));
-    steps.extend([Do::Install(Snapshot { set: 3, body: None, under: None, ..snapshot() }), Do::Done]);
-    steps.push(Do::Write(word(9, 5)));
+fn steps() -> Vec<Step> {
+    let mut steps = vec![Step::Write(WriteOp::Membership(seat(1))), Step::Write(WriteOp::Promise(ballot(5)))];
+    steps.extend((1..=6).map(|v| Step::Write(word(v, 5 + v))));
+    steps.push(Step::Write(WriteOp::Promise(ballot(40))));
+    steps.extend([Step::Install(snapshot()), Step::Finish]);
+    steps.push(Step::Write(WriteOp::Promise(ballot(4))));
+    steps.push(Step::Write(word(8, 4)));
+    steps.extend([
+        Step::Install(Snapshot { set_number: 3, body: None, accepted_ballot: None, ..snapshot() }),
+        Step::Finish,
+    ]);
+    steps.push(Step::Write(word(9, 5)));
     steps
 }
 
-fn carry(state: &mut State, step: &Do) -> std::result::Result<(), notchspool_storage::Broken> {
+fn carry(state: &mut StateFiles, step: &Step) -> std::result::Result<(), notchspool_storage::StorageError> {
     // As `Trapdoor` does before all else.
-    if !matches!(step, Do::Done) && !state.owed().is_empty() {
-        state.done()?;
+    if !matches!(step, Step::Finish) && !state.uninstalled_claims().is_empty() {
+        state.finish_install()?;
     }
     match step {
-        Do::Write(deed) => {
-            state.write(std::slice::from_ref(deed))?;
-            state.seat(std::slice::from_ref(deed))
+        Step::Write(op) => {
+            state.write_register(std::slice::from_ref(op))?;
+            state.write_membership(std::slice::from_ref(op))
         }
-        Do::Install(snapshot) => state.install(snapshot),
-        Do::Parts(snapshot) => {
-            let seat = serde_json::from_slice(&snapshot.seat).unwrap();
-            state.seat(&[Deed::Seat(seat)])?;
-            state.write(&[word(2, 2), Deed::Promise(ballot(3))])
+        Step::Install(snapshot) => state.install(snapshot),
+        Step::Parts(snapshot) => {
+            let seat = serde_json::from_slice(&snapshot.membership).unwrap();
+            state.write_membership(&[WriteOp::Membership(seat)])?;
+            state.write_register(&[word(2, 2), WriteOp::Promise(ballot(3))])
         }
-        Do::Done => state.done(),
+        Step::Finish => state.finish_install(),
     }
 }
 
 /// The whole course: what was done to the folder, and what is to be found after each step.
-fn course(steps: &[Do]) -> (Vec<Op>, Vec<View>) {
+fn course(steps: &[Step]) -> (Vec<Op>, Vec<View>) {
     let disk = StandIn::default();
-    let (mut state, found, _) = State::open(Shelf::on(Box::new(disk.clone()))).unwrap();
+    let (mut state, found) = StateFiles::open(FileStore::new(Box::new(disk.clone()))).unwrap();
     let mut views = vec![view(&found)];
     for step in steps {
         carry(&mut state, step).unwrap();
         disk.acked();
         let now = disk.names().into_iter().map(|n| (n.clone(), disk.read(&n).unwrap().unwrap())).collect();
-        let (_, found, _) = State::open(Shelf::on(Box::new(StandIn::of(&now)))).unwrap();
+        let (_, found) = StateFiles::open(FileStore::new(Box::new(StandIn::of(&now)))).unwrap();
         views.push(view(&found));
     }
     (disk.ops(), views)
@@ -284,16 +287,17 @@
 
 fn reopen(files: &Files) -> (View, Vec<Claim>, StandIn) {
     let disk = StandIn::of(files);
-    let (_, found, claims) = State::open(Shelf::on(Box::new(disk.clone()))).unwrap();
+    let (state, found) = StateFiles::open(FileStore::new(Box::new(disk.clone()))).unwrap();
+    let claims = state.uninstalled_claims().to_vec();
     (view(&found), claims, disk)
 }
 
 /// What is not as it has to be after a loss of power at any step, and how many disks were looked at.
-fn wrong(steps: &[Do]) -> (usize, Vec<String>) {
+fn violations(steps: &[Step]) -> (usize, Vec<String>) {
     let (ops, views) = course(steps);
     let installs: Vec<usize> =
-        steps.iter().enumerate().filter(|(_, s)| matches!(s, Do::Install(_))).map(|(n, _)| n + 1).collect();
-    let (mut disks, mut wrong) = (0, Vec::new());
+        steps.iter().enumerate().filter(|(_, s)| matches!(s, Step::Install(_))).map(|(n, _)| n + 1).collect();
+    let (mut disks, mut violations) = (0, Vec::new());
     for end in 0..=ops.len() {
         let acked = ops[..end].iter().filter(|op| matches!(op, Op::Acked)).count();
         for files in left(&Files::new(), &ops[..end]) {
@@ -301,40 +305,40 @@
             let (seen, claims, _) = reopen(&files);
             let next = views.get(acked + 1).unwrap_or(&views[acked]);
             if seen != views[acked] && seen != *next {
-                wrong.push(format!("after {end} of {}: {seen:?}", ops.len()));
+                violations.push(format!("after {end} of {}: {seen:?}", ops.len()));
             }
             // Until its claims are kept elsewhere they come with the snapshot.
             let gone = ops[..end].iter().any(|op| matches!(op, Op::Remove(name) if name == "installed"));
             let counts = installs.contains(&acked) || installs.contains(&(acked + 1)) && seen == *next;
             if counts && !gone && claims != snapshot().claims {
-                wrong.push(format!("claims after {end}: {claims:?}"));
+                violations.push(format!("claims after {end}: {claims:?}"));
             }
         }
     }
-    (disks, wrong)
+    (disks, violations)
 }
 
 #[test]
 fn power_lost_at_every_step_loses_nothing_acknowledged_and_leaves_no_half_snapshot() {
-    let (disks, wrong) = wrong(&steps());
-    assert!(wrong.is_empty(), "{wrong:#?}");
+    let (disks, violations) = violations(&steps());
+    assert!(violations.is_empty(), "{violations:#?}");
     assert!(disks > 300, "{disks}");
 }
 
 /// The check sees a snapshot that is installed in parts.
 #[test]
 fn a_snapshot_installed_in_parts_is_noticed() {
-    let parts: Vec<Do> = steps()
+    let parts: Vec<Step> = steps()
         .into_iter()
         .map(|step| match step {
-            Do::Install(snapshot) if snapshot.set == 2 => Do::Parts(snapshot),
+            Step::Install(snapshot) if snapshot.set_number == 2 => Step::Parts(snapshot),
             step => step,
         })
         .collect();
-    let (_, wrong) = wrong(&parts);
+    let (_, violations) = violations(&parts);
     assert!(
-        wrong.iter().any(|w| w.contains("incarnation: 9")),
-        "a half snapshot was not noticed: {wrong:#?}"
+        violations.iter().any(|w| w.contains("incarnation: 9")),
+        "a half snapshot was not noticed: {violations:#?}"
     );
 }
 
@@ -343,7 +347,7 @@
 fn power_lost_again_while_a_snapshot_is_carried_out_changes_nothing() {
     let (ops, views) = course(&steps());
     let installs: Vec<usize> =
-        steps().iter().enumerate().filter(|(_, s)| matches!(s, Do::Install(_))).map(|(n, _)| n).collect();
+        steps().iter().enumerate().filter(|(_, s)| matches!(s, Step::Install(_))).map(|(n, _)| n).collect();
     let mut again = 0;
     for end in 0..=ops.len() {
         let acked = ops[..end].iter().filter(|op| matches!(op, Op::Acked)).count();
@@ -368,10 +372,10 @@
 #[test]
 fn an_installed_file_torn_at_any_byte_was_never_there() {
     let (ops, views) = course(&steps());
-    let at = steps().iter().position(|s| matches!(s, Do::Install(_))).unwrap();
+    let at = steps().iter().position(|s| matches!(s, Step::Install(_))).unwrap();
     let end = ops.iter().enumerate().filter(|(_, op)| matches!(op, Op::Acked)).nth(at - 1).unwrap().0;
     let before = left(&Files::new(), &ops[..=end]).into_iter().next().unwrap();
-    let all = sealed(&encode(&snapshot()).unwrap());
+    let all = with_checksum(&encode(&snapshot()).unwrap());
     for cut in 0..=all.len() {
         let mut files = before.clone();
         files.insert("installed".into(), all[..cut].to_vec());
@@ -392,12 +396,12 @@
     let (ops, _) = course(&steps());
     for refused in 0..ops.len() {
         let disk = StandIn::default();
-        let (mut state, ..) = State::open(Shelf::on(Box::new(disk.clone()))).unwrap();
+        let (mut state, ..) = StateFiles::open(FileStore::new(Box::new(disk.clone()))).unwrap();
         disk.0.lock().unwrap().refuses = Some(refused);
         // What was refused is not asked for again: the next thing is.
         let oks = steps().iter().filter(|step| carry(&mut state, step).is_ok()).count();
         disk.0.lock().unwrap().refuses = None;
-        carry(&mut state, &Do::Write(word(10, 6))).unwrap();
+        carry(&mut state, &Step::Write(word(10, 6))).unwrap();
         let now: Files =
             disk.names().into_iter().map(|n| (n.clone(), disk.read(&n).unwrap().unwrap())).collect();
         let (seen, claims, _) = reopen(&now);
@@ -411,9 +415,9 @@
 #[test]
 fn the_folder_holds_few_files_after_a_thousand_changes() {
     let disk = StandIn::default();
-    let (mut state, ..) = State::open(Shelf::on(Box::new(disk.clone()))).unwrap();
+    let (mut state, ..) = StateFiles::open(FileStore::new(Box::new(disk.clone()))).unwrap();
     for version in 1..=1_000 {
-        state.write(&[Deed::Promise(ballot(version)), word(version, version)]).unwrap();
+        state.write_register(&[WriteOp::Promise(ballot(version)), word(version, version)]).unwrap();
         assert!(disk.names().len() <= 5, "{:?}", disk.names());
     }
     // Removed for good: none comes back when power is lost.
@@ -427,15 +431,20 @@
     let folder = std::env::temp_dir().join(format!("notchspool-installed-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
     let window = std::time::Duration::from_secs(60);
-    let (mut trapdoor, _) = Trapdoor::open(&folder, window).unwrap();
-    trapdoor
-        .write(&[Deed::Seat(seat(1)), Deed::Promise(ballot(40)), word(5, 39), Deed::Claim(claim("old"))])
+    let (mut storage, _) = Storage::open(&folder, window).unwrap();
+    storage
+        .write(&[
+            WriteOp::Membership(seat(1)),
+            WriteOp::Promise(ballot(40)),
+            word(5, 39),
+            WriteOp::Claim(claim("old")),
+        ])
         .unwrap();
-    trapdoor.write(&[Deed::Install(Box::new(snapshot())), Deed::Claim(claim("new"))]).unwrap();
-    drop(trapdoor);
-    let (_, found) = Trapdoor::open(&folder, window).unwrap();
-    assert_eq!(found.seat, Some(seat(9)));
-    assert_eq!((found.promised, found.entry.map(|e| e.value)), (ballot(3), snapshot().body));
+    storage.write(&[WriteOp::InstallSnapshot(Box::new(snapshot())), WriteOp::Claim(claim("new"))]).unwrap();
+    drop(storage);
+    let (_, found) = Storage::open(&folder, window).unwrap();
+    assert_eq!(found.membership, Some(seat(9)));
+    assert_eq!((found.promised, found.accepted.map(|e| e.value)), (ballot(3), snapshot().body));
     let keys: BTreeSet<String> = found.claims.iter().map(|c| c.key.clone()).collect();
     assert_eq!(keys.into_iter().collect::<Vec<_>>(), ["k-1", "k-2", "new", "old"]);
     let _ = std::fs::remove_dir_all(&folder);
