--- a/crates/consensus/tests/drawn/world.rs
+++ b/crates/consensus/tests/drawn/world.rs
@@ -107,7 +107,7 @@
                 disk.spaces[at].lease = lease;
             }
             DiskWrite::Incarnation(voter, incarnation) => {
-                drop(disk.known_incarnations.insert(voter, incarnation))
+                disk.known_incarnations.insert(voter, incarnation);
             }
         }
     }
--- a/crates/consensus/tests/walk.rs
+++ b/crates/consensus/tests/walk.rs
@@ -314,11 +314,7 @@
                 step(&|w| {
                     w.left.falls -= 1;
                     let (spaces, incarnation) = w.disks[v].clone();
-                    let disk = DurableState {
-                        incarnation: incarnation,
-                        known_incarnations: BTreeMap::new(),
-                        spaces,
-                    };
+                    let disk = DurableState { incarnation, known_incarnations: BTreeMap::new(), spaces };
                     w.voters[v] = Acceptor::open(VoterId(v as u16), parameters(), disk, w.now);
                 });
             }
--- a/crates/control-plane/src/main.rs
+++ b/crates/control-plane/src/main.rs
@@ -8,8 +8,5 @@
         name: "notchspool-control-plane",
         description: "A replica of the control plane of the notchspool mesh",
     };
-    program.run(
-        |node, file| node.listener(file, "controlPlane"),
-        |settings, signals| notchspool_control_plane::server::run(settings, signals),
-    )
+    program.run(|node, file| node.listener(file, "controlPlane"), notchspool_control_plane::server::run)
 }
--- /dev/null
+++ b/crates/data-plane/src/admission.rs
@@ -0,0 +1,220 @@
+//! What may begin at the backend of this machine, and in which order. No I/O.
+//!
+//! It has the last word: what it rejects has not run and never will. Invariants (`tests/admission.rs`): no more than the backend's slots and
+//! one are in flight; nothing is queued that would not be answered in time.
+use std::collections::BTreeMap;
+
+use notchspool::units::Micros;
+
+/// Requests that are queued at most, for each slot.
+const MAX_QUEUED_A_SLOT: f64 = 4.0;
+/// The part of what is left of a request's time that it may be queued, at most and where it will be late.
+const MAX_WAIT_PART: f64 = 0.4;
+const LATE_WAIT_PART: f64 = 0.02;
+/// What is left until the latency target, after so many times the usual work, may be waited for to this part: work is uneven.
+const WORK_MARGIN: f64 = 1.3;
+const TARGET_WAIT_PART: f64 = 0.4;
+/// Smoothing of the time that the backend takes.
+const SMOOTHING: f64 = 0.1;
+/// Utilisation is a mean over about this span.
+const UTILISATION_SPAN: Micros = Micros::ms(400);
+/// Kinds of work that are told apart.
+const MAX_KINDS: usize = 64;
+/// A rejected request is to come back no sooner than this.
+const MIN_RETRY_AFTER: Micros = Micros::ms(20);
+const MAX_SLOTS: usize = 4_096;
+
+/// The number of a queued request.
+pub type QueueTicket = u64;
+
+/// What becomes of a request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Decision {
+    /// It begins now.
+    Admitted,
+    /// It is queued, under this number.
+    Queued(QueueTicket),
+    /// It does not begin; when to come back.
+    Rejected(Micros),
+}
+
+/// A decision, and the request that it has displaced from the queue.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Admission {
+    /// What becomes of the request.
+    pub decision: Decision,
+    /// A queued request that made way for it.
+    pub displaced: Option<QueueTicket>,
+}
+
+/// A request that wants to begin.
+#[derive(Clone, Copy, Debug)]
+pub struct Candidate {
+    /// 0 is the highest.
+    pub priority: u32,
+    /// Work of one kind takes about as long: its route's latency target, in milliseconds.
+    pub kind: u32,
+    /// Until when a response has its full value.
+    pub target_at: Micros,
+    /// Until when it has any.
+    pub deadline: Micros,
+}
+
+#[derive(Clone, Copy, Debug)]
+struct Queued {
+    ticket: QueueTicket,
+    deadline: Micros,
+    expected_us: f64,
+}
+
+/// The order of the queue: by priority, then those that can still be in time, then by latency target, then by arrival.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct QueueKey {
+    priority: u32,
+    is_late: bool,
+    target_us: i64,
+    ticket: QueueTicket,
+}
+
+/// Requests at the backend, and those that wait for it.
+#[derive(Clone, Debug)]
+pub struct AdmissionQueue {
+    slots: usize,
+    in_flight: usize,
+    queue: BTreeMap<QueueKey, Queued>,
+    last_ticket: QueueTicket,
+    /// Mean time of the backend's work, over all and of each kind; 0 where none was measured.
+    mean_us: f64,
+    mean_us_by_kind: BTreeMap<u32, f64>,
+    utilisation: f64,
+    updated_at: Micros,
+}
+
+impl AdmissionQueue {
+    /// A backend with one slot, until [`AdmissionQueue::set_slots`] tells more.
+    pub fn new(now: Micros) -> AdmissionQueue {
+        AdmissionQueue {
+            slots: 1,
+            in_flight: 0,
+            queue: BTreeMap::new(),
+            last_ticket: 0,
+            mean_us: 0.0,
+            mean_us_by_kind: BTreeMap::new(),
+            utilisation: 0.0,
+            updated_at: now,
+        }
+    }
+
+    /// How many requests the backend takes at once.
+    pub fn set_slots(&mut self, slots: u32) {
+        self.slots = (slots as usize).clamp(1, MAX_SLOTS);
+    }
+
+    fn has_room(&self) -> bool {
+        self.in_flight <= self.slots
+    }
+
+    fn update_utilisation(&mut self, now: Micros) {
+        let kept = (-(now - self.updated_at).over(UTILISATION_SPAN)).exp();
+        let load = (self.in_flight + self.queue.len()) as f64 / self.slots as f64;
+        self.utilisation = self.utilisation * kept + load * (1.0 - kept);
+        self.updated_at = now;
+    }
+
+    /// Decides on a request. Where too many are queued, the last in order makes way for one that goes before it.
+    pub fn admit(&mut self, now: Micros, candidate: Candidate) -> Admission {
+        self.update_utilisation(now);
+        if self.has_room() && self.queue.is_empty() {
+            self.in_flight += 1;
+            return Admission { decision: Decision::Admitted, displaced: None };
+        }
+        let expected_us = self.mean_us_by_kind.get(&candidate.kind).copied().unwrap_or(self.mean_us);
+        let ticket = self.last_ticket + 1;
+        let key = QueueKey {
+            priority: candidate.priority,
+            is_late: ((candidate.target_at - now).0 as f64) < expected_us,
+            target_us: candidate.target_at.0,
+            ticket,
+        };
+        let wait = self.expected_wait(&key);
+        let is_full = self.queue.len() as f64 >= MAX_QUEUED_A_SLOT * self.slots as f64;
+        let last = self.queue.last_key_value().filter(|(last, _)| **last > key);
+        let last = last.map(|(key, queued)| (*key, queued.ticket));
+        if wait > max_wait(now, &candidate, expected_us) || (is_full && last.is_none()) {
+            return Admission { decision: Decision::Rejected(wait.max(MIN_RETRY_AFTER)), displaced: None };
+        }
+        let displaced = last.filter(|_| is_full);
+        if let Some((last, _)) = displaced {
+            self.queue.remove(&last);
+        }
+        self.last_ticket = ticket;
+        self.queue.insert(key, Queued { ticket, deadline: candidate.deadline, expected_us });
+        Admission { decision: Decision::Queued(ticket), displaced: displaced.map(|(_, ticket)| ticket) }
+    }
+
+    /// One slot comes free in the time that one request takes, over the slots; those ahead take them first.
+    fn expected_wait(&self, key: &QueueKey) -> Micros {
+        let ahead_us: f64 = self.queue.range(..key).map(|(_, queued)| queued.expected_us).sum();
+        Micros(((ahead_us + self.mean_us) / self.slots as f64) as i64)
+    }
+
+    /// A queued request left.
+    pub fn cancel(&mut self, now: Micros, ticket: QueueTicket) {
+        self.update_utilisation(now);
+        self.queue.retain(|_, queued| queued.ticket != ticket);
+    }
+
+    /// A request of this kind that was in flight is done, `took` where it was measured. Gives the one that begins next.
+    pub fn release(&mut self, now: Micros, kind: u32, took: Option<Micros>) -> Option<QueueTicket> {
+        self.update_utilisation(now);
+        self.in_flight = self.in_flight.saturating_sub(1);
+        if let Some(took) = took {
+            self.measure(kind, took.0 as f64);
+        }
+        self.admit_next(now)
+    }
+
+    fn measure(&mut self, kind: u32, took_us: f64) {
+        let smoothed = |old: f64| if old == 0.0 { took_us } else { old + SMOOTHING * (took_us - old) };
+        self.mean_us = smoothed(self.mean_us);
+        if self.mean_us_by_kind.len() < MAX_KINDS || self.mean_us_by_kind.contains_key(&kind) {
+            let mean = self.mean_us_by_kind.entry(kind).or_default();
+            *mean = smoothed(*mean);
+        }
+    }
+
+    /// The first of the queue that still has time begins, where there is room.
+    pub fn admit_next(&mut self, now: Micros) -> Option<QueueTicket> {
+        if !self.has_room() {
+            return None;
+        }
+        self.queue.retain(|_, queued| queued.deadline > now);
+        let (_, first) = self.queue.pop_first()?;
+        self.in_flight += 1;
+        Some(first.ticket)
+    }
+
+    /// What is in flight and queued, over the slots, in the mean over the last moments.
+    pub fn utilisation(&mut self, now: Micros) -> f64 {
+        self.update_utilisation(now);
+        self.utilisation
+    }
+
+    /// Requests at the backend.
+    pub fn in_flight(&self) -> usize {
+        self.in_flight
+    }
+
+    /// Requests that wait for it.
+    pub fn queued(&self) -> usize {
+        self.queue.len()
+    }
+}
+
+/// How long a request may be queued: in time, or late by little. One that waits for long keeps those behind from being in time.
+fn max_wait(now: Micros, candidate: &Candidate, expected_us: f64) -> Micros {
+    let to_target = candidate.target_at - now;
+    let to_deadline = candidate.deadline - now;
+    let spare = to_target - Micros(expected_us as i64).times(WORK_MARGIN);
+    spare.times(TARGET_WAIT_PART).max(to_deadline.times(LATE_WAIT_PART)).min(to_deadline.times(MAX_WAIT_PART))
+}
--- a/crates/data-plane/src/attempts.rs
+++ b/crates/data-plane/src/attempts.rs
@@ -1,179 +1,225 @@
-//! What becomes of one request of a client after each try, without I/O: `Attempts::turn` is the one function that changes it. Held always:
-//! what may not be repeated goes nowhere else once it may have run; 503 is said only of what has not run and never will, or may be
-//! repeated anyway; arrivals at backends past the first are paid for, and no more than the route allows.
+//! What becomes of one request of a client after each attempt, without I/O. [`Attempts::apply`] is the one function that changes it.
+//!
+//! Invariants (`tests/attempts.rs`): what must not be repeated goes nowhere else once it may have run; 503 is answered only to what has not
+//! run and never will, or may be repeated anyway; attempts that reach backends past the first are paid for from the retry budget, and there
+//! are no more of them than the route allows.
 use notchspool::units::Micros;
 use notchspool_mesh_protocol::{Response, Ticket, Verdict};
 
 /// With less time left nobody asks whether a key was claimed.
-const FENCE: Micros = Micros::ms(60);
-/// Doors that may turn one request away before it is given up.
-const MOST_REFUSALS: u32 = 4;
-/// What is left for who is refused to come back.
-const RETRY: Micros = Micros::ms(60);
+const MIN_TIME_FOR_FENCE: Micros = Micros::ms(60);
+/// Proxies that may refuse one request before it is given up.
+const MAX_REFUSALS: u32 = 4;
+/// When a refused client is to come back, where nobody told.
+const DEFAULT_RETRY_AFTER: Micros = Micros::ms(60);
 
+/// What a request's route allows.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
-    pub repeatable: bool,
+pub struct RetryPolicy {
+    /// It may run more than once.
+    pub idempotent: bool,
     /// Backends to which it may be sent at most.
-    pub most: u32,
-    pub until: Micros,
+    pub max_attempts: u32,
+    /// It is answered by this.
+    pub deadline: Micros,
     /// Of a keyed operation: its claim.
     pub ticket: Option<Ticket>,
 }
 
+/// What happened to a request.
 pub enum Event<'a> {
-    /// It is to be sent somewhere now.
-    Post,
-    /// That came of it.
-    Came(&'a Response),
-    /// A claim for its key was made with this ticket, in place of the one that was sent: whether it was granted.
-    Fenced(Ticket, bool),
-    /// There is nobody to whom it can be sent.
-    Nobody,
+    /// A backend was picked: it is to be sent there now.
+    Picked,
+    /// There is no backend to which it can be sent.
+    NoBackend,
+    /// This came of the attempt.
+    Response(&'a Response),
+    /// A claim for its key was made with this ticket, in place of the one that was sent.
+    Fence {
+        /// That ticket.
+        ticket: Ticket,
+        /// Whether it was granted.
+        granted: bool,
+    },
 }
 
+/// What is to be done with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
-    /// Send it, as the so many-th, with this ticket.
-    Send(u32, Option<Ticket>),
-    /// Claim its key with another ticket: where that is granted, the first one has not run and never will.
+pub enum Action {
+    /// Send it.
+    Send {
+        /// The attempt's number, from 0.
+        attempt: u32,
+        /// Under which its key is claimed.
+        ticket: Option<Ticket>,
+    },
+    /// Claim its key with another ticket: where that is granted, the first attempt has not run and never will.
     Fence,
     /// It may be sent elsewhere.
-    Again,
+    Retry,
     /// What came is the answer.
     Relay,
     /// 503: it has not run and never will.
-    Refuse,
+    Reject,
     /// 502, or 504 where its time is over: it may have run.
-    Unanswered { over: bool },
-    /// 409: the key is at work.
-    AtWork,
-    /// 502: the key ran, and its answer is lost.
-    Lost,
-    /// Another proxy has the key's answer.
-    FromHolder,
+    Unanswered {
+        /// Its time is over.
+        timed_out: bool,
+    },
+    /// 409: a request with its key is running.
+    InProgress,
+    /// 502: a request with its key ran, and the response is lost.
+    ResponseLost,
+    /// Another proxy has the response of its key.
+    FetchFromHolder,
 }
 
+/// The attempts of one request.
 #[derive(Debug)]
 pub struct Attempts {
-    terms: Terms,
-    posted: u32,
+    policy: RetryPolicy,
+    sent: u32,
+    /// Attempts that reached a backend, or may have.
     arrivals: u32,
     /// One more arrival is paid for.
-    paid: bool,
+    is_paid: bool,
     refusals: u32,
     may_have_run: bool,
-    /// The last reason why there was no answer, and when to come back.
-    pub why: String,
-    pub retry: Micros,
+    /// The last reason why there was no answer.
+    pub reason: String,
+    /// When a refused client is to come back.
+    pub retry_after: Micros,
 }
 
 impl Attempts {
-    pub fn open(terms: Terms) -> Attempts {
+    /// A request that was not sent yet.
+    pub fn new(policy: RetryPolicy) -> Attempts {
         Attempts {
-            terms,
-            posted: 0,
+            policy,
+            sent: 0,
             arrivals: 0,
-            paid: false,
+            is_paid: false,
             refusals: 0,
             may_have_run: false,
-            why: "no backend is in reach".into(),
-            retry: RETRY,
+            reason: "no backend is in reach".into(),
+            retry_after: DEFAULT_RETRY_AFTER,
         }
     }
 
-    pub fn posted(&self) -> u32 {
-        self.posted
+    /// How many attempts were sent.
+    pub fn sent(&self) -> u32 {
+        self.sent
     }
 
-    /// `spend` takes one more arrival from what the service may have, where there is room.
-    pub fn turn(&mut self, now: Micros, event: Event, spend: &dyn Fn() -> bool) -> Next {
+    /// Takes an event. `try_spend` takes one more arrival from the service's retry budget, where there is room.
+    pub fn apply(&mut self, now: Micros, event: Event<'_>, try_spend: &dyn Fn() -> bool) -> Action {
         match event {
-            Event::Post if now >= self.terms.until => {
-                self.why = "its time is over".into();
-                self.ends(now)
+            Event::Picked if now >= self.policy.deadline => {
+                self.reason = "its time is over".into();
+                self.give_up(now)
             }
-            Event::Post => {
-                let turn = self.posted;
-                self.posted += 1;
-                Next::Send(turn, self.terms.ticket.map(|t| Ticket { attempt: turn, ..t }))
+            Event::Picked => {
+                let attempt = self.sent;
+                self.sent += 1;
+                let ticket = self.policy.ticket.map(|ticket| Ticket { attempt, ..ticket });
+                Action::Send { attempt, ticket }
             }
-            Event::Nobody => self.ends(now),
-            Event::Fenced(ticket, granted) => {
-                // Where nobody takes it after all that is not promised to the client: the fence has to stand.
-                self.may_have_run = true;
-                self.arrivals += 1;
-                if !granted {
-                    return self.may_have_run(now, spend);
-                }
-                // It may have arrived and been turned away there: that counts for the route, and costs nothing of what all share.
-                self.paid = true;
-                self.terms.ticket = Some(ticket);
-                self.not_run(now, false, spend)
-            }
-            Event::Came(said) => self.came(now, said, spend),
+            Event::NoBackend => self.give_up(now),
+            Event::Fence { ticket, granted } => self.on_fence(now, ticket, granted, try_spend),
+            Event::Response(response) => self.on_response(now, response, try_spend),
+        }
+    }
+
+    fn on_fence(
+        &mut self,
+        now: Micros,
+        ticket: Ticket,
+        granted: bool,
+        try_spend: &dyn Fn() -> bool,
+    ) -> Action {
+        // Where nobody takes it after all that is not promised to the client: the fence has to stand.
+        self.may_have_run = true;
+        self.arrivals += 1;
+        if !granted {
+            return self.on_may_have_run(now, try_spend);
         }
+        // It may have arrived and been refused there: that counts for the route, and costs nothing of what all share.
+        self.is_paid = true;
+        self.policy.ticket = Some(ticket);
+        self.on_not_run(now, false, try_spend)
     }
 
-    fn came(&mut self, now: Micros, said: &Response, spend: &dyn Fn() -> bool) -> Next {
-        let verdict = said.verdict();
-        let fence = verdict == Verdict::MayHaveRun && !said.reached_backend && self.terms.ticket.is_some();
+    fn on_response(&mut self, now: Micros, response: &Response, try_spend: &dyn Fn() -> bool) -> Action {
+        let verdict = response.verdict();
         if verdict != Verdict::Answered {
-            self.why.clone_from(&said.reason);
+            self.reason.clone_from(&response.reason);
         }
-        if fence && self.terms.until - now > FENCE {
-            return Next::Fence;
+        let can_fence =
+            verdict == Verdict::MayHaveRun && !response.reached_backend && self.policy.ticket.is_some();
+        if can_fence && self.policy.deadline - now > MIN_TIME_FOR_FENCE {
+            return Action::Fence;
         }
-        if said.reached_backend || verdict == Verdict::MayHaveRun {
-            (self.arrivals, self.paid) = (self.arrivals + 1, false);
+        if response.reached_backend || verdict == Verdict::MayHaveRun {
+            self.arrivals += 1;
+            self.is_paid = false;
         }
         match verdict {
-            Verdict::Answered if said.status >= 500 && self.terms.repeatable && self.further(now, spend) => {
-                (self.may_have_run, self.why) = (true, format!("status {}", said.status));
-                Next::Again
-            }
-            Verdict::Answered => Next::Relay,
-            Verdict::NotRun | Verdict::WrongInstance => {
-                if said.retry_after_ms > 0 {
-                    self.retry = Micros::ms(i64::from(said.retry_after_ms));
+            Verdict::Answered => self.on_answer(now, response, try_spend),
+            Verdict::NotRun | Verdict::OtherInstance => {
+                if response.retry_after_ms > 0 {
+                    self.retry_after = Micros::ms(i64::from(response.retry_after_ms));
                 }
-                self.not_run(now, said.final_refusal, spend)
+                self.on_not_run(now, response.final_refusal, try_spend)
             }
-            Verdict::InProgress => Next::AtWork,
-            Verdict::ResponseLost => Next::Lost,
-            Verdict::HeldElsewhere => Next::FromHolder,
+            Verdict::InProgress => Action::InProgress,
+            Verdict::ResponseLost => Action::ResponseLost,
+            Verdict::HeldElsewhere => Action::FetchFromHolder,
             Verdict::MayHaveRun => {
                 self.may_have_run = true;
-                self.may_have_run(now, spend)
+                self.on_may_have_run(now, try_spend)
             }
         }
     }
 
+    fn on_answer(&mut self, now: Micros, response: &Response, try_spend: &dyn Fn() -> bool) -> Action {
+        let is_failure = response.status >= 500;
+        if is_failure && self.policy.idempotent && self.may_retry(now, try_spend) {
+            self.may_have_run = true;
+            self.reason = format!("status {}", response.status);
+            return Action::Retry;
+        }
+        Action::Relay
+    }
+
     /// Whether one more may be sent: past the first arrival each is paid for before it is sent, and one that did not arrive is not lost.
-    fn further(&mut self, now: Micros, spend: &dyn Fn() -> bool) -> bool {
-        if now >= self.terms.until || self.arrivals >= self.terms.most.max(1) {
+    fn may_retry(&mut self, now: Micros, try_spend: &dyn Fn() -> bool) -> bool {
+        if now >= self.policy.deadline || self.arrivals >= self.policy.max_attempts.max(1) {
             return false;
         }
-        self.paid = self.paid || self.arrivals == 0 || spend();
-        self.paid
+        self.is_paid = self.is_paid || self.arrivals == 0 || try_spend();
+        self.is_paid
     }
 
-    fn not_run(&mut self, now: Micros, ends: bool, spend: &dyn Fn() -> bool) -> Next {
+    fn on_not_run(&mut self, now: Micros, is_final: bool, try_spend: &dyn Fn() -> bool) -> Action {
         self.refusals += 1;
-        if ends || self.refusals >= MOST_REFUSALS || !self.further(now, spend) {
-            return self.ends(now);
+        if is_final || self.refusals >= MAX_REFUSALS || !self.may_retry(now, try_spend) {
+            return self.give_up(now);
         }
-        Next::Again
+        Action::Retry
     }
 
-    fn may_have_run(&mut self, now: Micros, spend: &dyn Fn() -> bool) -> Next {
-        if self.terms.repeatable && self.further(now, spend) { Next::Again } else { self.ends(now) }
+    fn on_may_have_run(&mut self, now: Micros, try_spend: &dyn Fn() -> bool) -> Action {
+        if self.policy.idempotent && self.may_retry(now, try_spend) {
+            Action::Retry
+        } else {
+            self.give_up(now)
+        }
     }
 
-    fn ends(&self, now: Micros) -> Next {
+    fn give_up(&self, now: Micros) -> Action {
         match self.may_have_run {
-            true => Next::Unanswered { over: now >= self.terms.until },
-            false => Next::Refuse,
+            true => Action::Unanswered { timed_out: now >= self.policy.deadline },
+            false => Action::Reject,
         }
     }
 }
--- /dev/null
+++ b/crates/data-plane/src/inbound.rs
@@ -0,0 +1,387 @@
+//! Requests for the backend of this machine: the instance that was meant, the key, the queue, the backend. What is refused here has not run
+//! and never will.
+use std::cell::RefCell;
+use std::collections::HashMap;
+use std::rc::Rc;
+
+use notchspool::units::Micros;
+use notchspool_endpoint_registry::heartbeats::Event as BackendEvent;
+use notchspool_mesh_protocol::{Request, Response, Ticket, Verdict};
+use tokio::sync::oneshot;
+
+use crate::admission::{Candidate, Decision as AdmissionDecision, QueueTicket};
+use crate::backend_exchange::{BackendClient, BackendOutcome};
+use crate::claim_client::ClaimClient;
+use crate::context::{Context, within};
+use crate::control_client::ControlClient;
+use crate::keyed_operation::{self, Decision, Operations};
+use crate::link_load::LinkLoad;
+use crate::local_backend::{LocalBackend, Unavailable};
+use crate::peer_link::{PeerResponse, without_answer};
+
+/// The part of its latency target for which a large response may find the link at work.
+const MAX_BACKLOG_PART: f64 = 0.3;
+/// Kept clear of the end of a request's time.
+const DEADLINE_MARGIN: Micros = Micros::ms(2);
+/// Responses to keyed operations are kept for this long beyond their window.
+const EXTRA_KEY_WINDOW: Micros = Micros::ms(2_000);
+/// Bytes of responses to keyed operations that are kept: this part of the memory.
+const RESPONSE_CACHE_MEMORY_PART: u64 = 5;
+const MIN_RESPONSE_CACHE_MB: u64 = 4;
+const MAX_RETRY_AFTER_MS: i64 = 60_000;
+
+/// Serves requests with the backend of this machine.
+pub struct Inbound {
+    context: Rc<Context>,
+    backend: Rc<LocalBackend>,
+    client: Rc<BackendClient>,
+    claims: Rc<ClaimClient>,
+    control: Rc<ControlClient>,
+    link_load: Rc<LinkLoad>,
+    operations: RefCell<Operations>,
+    /// Requests that are queued for the backend.
+    queued: RefCell<HashMap<QueueTicket, oneshot::Sender<()>>>,
+}
+
+/// A slot at the backend; given back whatever becomes of the request.
+struct Slot {
+    inbound: Rc<Inbound>,
+    kind: u32,
+    /// How long the backend took, where it answered.
+    took: Option<Micros>,
+}
+
+impl Drop for Slot {
+    fn drop(&mut self) {
+        let next = self.inbound.backend.admission().release(self.inbound.context.now(), self.kind, self.took);
+        self.inbound.admit_queued(next);
+    }
+}
+
+/// A place in the queue, left whatever becomes of the request.
+struct QueuePlace {
+    inbound: Rc<Inbound>,
+    ticket: QueueTicket,
+    is_admitted: bool,
+}
+
+impl Drop for QueuePlace {
+    fn drop(&mut self) {
+        let is_queued = self.inbound.queued.borrow_mut().remove(&self.ticket).is_some();
+        if is_queued {
+            self.inbound.backend.admission().cancel(self.inbound.context.now(), self.ticket);
+        } else if !self.is_admitted {
+            // It was admitted and nobody came: the slot goes to the next.
+            drop(Slot { inbound: self.inbound.clone(), kind: 0, took: None });
+        }
+    }
+}
+
+/// A claim that is not yet known to have led to anything; withdrawn where the request is dropped before it began.
+struct ClaimGuard {
+    inbound: Rc<Inbound>,
+    key: String,
+    ticket: Ticket,
+    claimed_at: Micros,
+    is_armed: bool,
+}
+
+impl Drop for ClaimGuard {
+    fn drop(&mut self) {
+        if self.is_armed {
+            let now = self.inbound.context.now();
+            keyed_operation::on_not_run(&mut self.inbound.operations.borrow_mut(), now, &self.key);
+            self.inbound.claims.withdraw(&self.key, self.ticket);
+        }
+    }
+}
+
+impl Inbound {
+    /// Serves with `backend`, over `client`; keys are claimed with `claims`.
+    pub fn new(
+        context: Rc<Context>,
+        backend: Rc<LocalBackend>,
+        client: Rc<BackendClient>,
+        claims: Rc<ClaimClient>,
+        control: Rc<ControlClient>,
+        link_load: Rc<LinkLoad>,
+    ) -> Inbound {
+        let (key_window, memory_mb) = {
+            let settings = context.settings();
+            (settings.bounds.key_window, settings.memory_mb)
+        };
+        let cache_mb = (memory_mb / RESPONSE_CACHE_MEMORY_PART).max(MIN_RESPONSE_CACHE_MB);
+        let operations = Operations::new(key_window + EXTRA_KEY_WINDOW, cache_mb as usize * (1 << 20));
+        Inbound {
+            context,
+            backend,
+            client,
+            claims,
+            control,
+            link_load,
+            operations: RefCell::new(operations),
+            queued: RefCell::default(),
+        }
+    }
+
+    /// Large responses that are to be sent.
+    pub fn link_load(&self) -> &Rc<LinkLoad> {
+        &self.link_load
+    }
+
+    /// Bytes of responses to keyed operations that are kept.
+    pub fn cached_response_bytes(&self) -> usize {
+        self.operations.borrow().bytes()
+    }
+
+    /// Whether requests are at the backend, or large responses on their way.
+    pub fn is_busy(&self) -> bool {
+        self.backend.admission().in_flight() > 0 || self.link_load.unsent_bytes() > 0
+    }
+
+    /// Something happened to the backend; the replicas are told where it changes what others have to know.
+    pub fn on_backend_event(&self, event: BackendEvent) {
+        if self.backend.apply(event) {
+            self.control.report_endpoint();
+        }
+    }
+
+    /// Time has passed.
+    pub fn tick(&self, now: Micros) {
+        self.on_backend_event(BackendEvent::Tick);
+        self.client.close_expired(now);
+        self.operations.borrow_mut().tick(now);
+    }
+
+    // ---- One request, from its arrival to the backend -----------------------------------------------------
+
+    /// Runs a request at the backend here, or says why not.
+    pub async fn serve(self: Rc<Inbound>, request: Request) -> PeerResponse {
+        let deadline = self.context.now() + Micros::ms(i64::from(request.time_left_ms));
+        if let Some(refusal) = self.refusal_on_arrival(&request, deadline) {
+            return refusal.into();
+        }
+        let mut claim = None;
+        if let (false, Some(ticket)) = (request.key.is_empty(), request.ticket) {
+            match self.claim(&request, ticket).await {
+                Ok(granted) => claim = Some(granted),
+                Err(response) => return response.into(),
+            }
+        }
+        let slot = match self.enter(&request, deadline).await {
+            Ok(slot) => slot,
+            Err(retry_after) => return self.refused(request.id, "full", retry_after).into(),
+        };
+        // It may have changed while this one was queued.
+        if let Some(refusal) = self.refusal(&request, deadline) {
+            return refusal.into();
+        }
+        match claim {
+            Some(claim) => self.run_keyed(slot, request, claim, deadline).await,
+            None => self.run(slot, &request, deadline).await,
+        }
+    }
+
+    /// Why a request does not even wait for its turn.
+    fn refusal_on_arrival(&self, request: &Request, deadline: Micros) -> Option<Response> {
+        if self.backend.unavailable(&request.instance, &request.service).is_some() {
+            self.context.count("astray");
+        }
+        if let Some(refusal) = self.refusal(request, deadline) {
+            return Some(refusal);
+        }
+        // Large responses stand before all else on a thin link: one more is begun only while they are soon worked off.
+        let backlog = self.link_load.backlog_with(request.latency_target_ms);
+        let latency_target = Micros::ms(i64::from(request.latency_target_ms));
+        if backlog > latency_target.times(MAX_BACKLOG_PART) {
+            self.context.count("link_full");
+            return Some(self.refused(request.id, "the link is full", backlog));
+        }
+        None
+    }
+
+    /// Why a request may not begin now: another instance is here, it drains, or its time is over.
+    fn refusal(&self, request: &Request, deadline: Micros) -> Option<Response> {
+        let unavailable = self.backend.unavailable(&request.instance, &request.service);
+        if let Some(Unavailable { verdict, reason }) = unavailable {
+            return Some(self.with_load(without_answer(request.id, verdict, reason)));
+        }
+        if deadline - self.context.now() <= DEADLINE_MARGIN {
+            return Some(self.refused(request.id, "its time is over", Micros(0)));
+        }
+        None
+    }
+
+    /// The response of one that has not run and never will.
+    fn refused(&self, id: u64, reason: &str, retry_after: Micros) -> Response {
+        self.context.count("turned_away");
+        let retry_after_ms = (retry_after.0 / 1000).clamp(0, MAX_RETRY_AFTER_MS) as u32;
+        self.with_load(Response { retry_after_ms, ..without_answer(id, Verdict::NotRun, reason) })
+    }
+
+    /// Tells the load of the backend beside a response.
+    fn with_load(&self, mut response: Response) -> Response {
+        let (mut admission, now) = (self.backend.admission(), self.context.now());
+        response.utilisation = 1 + (admission.utilisation(now).clamp(0.0, 1.0) * 1_000.0) as u32;
+        response.in_flight = admission.in_flight() as u32;
+        response.queued = admission.queued() as u32;
+        response
+    }
+
+    // ---- Keys ---------------------------------------------------------------------------------------------
+
+    /// What is known here of a key that this run of the process holds.
+    pub fn held_response(&self, id: u64, key: &str, holder_boot_id: u64) -> Response {
+        if holder_boot_id != self.context.boot_id {
+            return without_answer(id, Verdict::ResponseLost, "the process that held it has ended");
+        }
+        Response { id, ..keyed_operation::known_response(&self.operations.borrow(), key) }
+    }
+
+    /// Claims the key of an operation. Its claim, where it may go on; else what is answered, and the claim is withdrawn as it is dropped.
+    async fn claim(self: &Rc<Inbound>, request: &Request, ticket: Ticket) -> Result<ClaimGuard, Response> {
+        let (id, key, claimed_at) = (request.id, request.key.clone(), self.context.now());
+        let age = Micros::ms(i64::from(request.age_ms));
+        let mut decision =
+            keyed_operation::on_arrival(&mut self.operations.borrow_mut(), claimed_at, &key, age);
+        let mut guard = ClaimGuard { inbound: self.clone(), key, ticket, claimed_at, is_armed: false };
+        if decision == Decision::Claim {
+            guard.is_armed = true;
+            let outcome = self.claims.claim(&request.key, ticket).await;
+            decision = keyed_operation::on_claim_outcome(ticket, outcome);
+        }
+        match decision {
+            Decision::Proceed => Ok(guard),
+            Decision::Known(response) => Err(Response { id, ..response }),
+            Decision::HeldElsewhere { holder, holder_boot_id } => {
+                let response = without_answer(id, Verdict::HeldElsewhere, "another has the key");
+                Err(Response { holder, holder_boot_id, ..response })
+            }
+            Decision::Refuse { reason, retry_after, is_final, withdraw } => {
+                if is_final {
+                    self.context.count(if withdraw { "claims_without_majority" } else { "claims_too_old" });
+                }
+                Err(Response { final_refusal: is_final, ..self.refused(id, reason, retry_after) })
+            }
+            Decision::Claim => Err(without_answer(id, Verdict::NotRun, "it is not claimed")),
+        }
+    }
+
+    /// Runs an operation whose key is claimed. From here on it goes to its end, whether anybody waits or not: its response is kept.
+    async fn run_keyed(
+        self: Rc<Inbound>,
+        slot: Slot,
+        request: Request,
+        mut claim: ClaimGuard,
+        deadline: Micros,
+    ) -> PeerResponse {
+        let id = request.id;
+        let window = self.context.settings().bounds.key_window;
+        let now = self.context.now();
+        let begins = keyed_operation::begin(
+            &mut self.operations.borrow_mut(),
+            now,
+            &request.key,
+            claim.claimed_at,
+            window,
+        );
+        if !begins {
+            return self.refused(id, "the key is gone", Micros::ms(50)).into();
+        }
+        claim.is_armed = false;
+        let (done, finished) = oneshot::channel();
+        tokio::task::spawn_local(async move {
+            let response = self.clone().run(slot, &request, deadline).await.response;
+            self.on_keyed_finished(&request, &response);
+            // Whoever waited may have left.
+            let _ = done.send(response);
+        });
+        let finished = finished.await;
+        finished.unwrap_or_else(|_| without_answer(id, Verdict::MayHaveRun, "it was dropped")).into()
+    }
+
+    fn on_keyed_finished(&self, request: &Request, response: &Response) {
+        let now = self.context.now();
+        let withdraw =
+            keyed_operation::on_finished(&mut self.operations.borrow_mut(), now, &request.key, response);
+        if let Some(ticket) = request.ticket.filter(|_| withdraw) {
+            self.claims.withdraw(&request.key, ticket);
+        }
+    }
+
+    // ---- The queue ----------------------------------------------------------------------------------------
+
+    /// Waits for a slot at the backend; or when to come back.
+    async fn enter(self: &Rc<Inbound>, request: &Request, deadline: Micros) -> Result<Slot, Micros> {
+        let now = self.context.now();
+        let kind = request.latency_target_ms;
+        let candidate = Candidate {
+            priority: request.priority,
+            kind,
+            target_at: now + Micros::ms(i64::from(request.target_left_ms)),
+            deadline,
+        };
+        let admission = self.backend.admission().admit(now, candidate);
+        if let Some(displaced) = admission.displaced {
+            // Its wait ends without a slot.
+            drop(self.queued.borrow_mut().remove(&displaced));
+            self.context.count("displaced");
+        }
+        match admission.decision {
+            AdmissionDecision::Admitted => Ok(Slot { inbound: self.clone(), kind, took: None }),
+            AdmissionDecision::Rejected(retry_after) => Err(retry_after),
+            AdmissionDecision::Queued(ticket) => self.wait_in_queue(ticket, kind, deadline - now).await,
+        }
+    }
+
+    async fn wait_in_queue(
+        self: &Rc<Inbound>,
+        ticket: QueueTicket,
+        kind: u32,
+        timeout: Micros,
+    ) -> Result<Slot, Micros> {
+        let (admitted, wait) = oneshot::channel();
+        self.queued.borrow_mut().insert(ticket, admitted);
+        let mut place = QueuePlace { inbound: self.clone(), ticket, is_admitted: false };
+        match within(timeout, wait).await {
+            Some(Ok(())) => {
+                place.is_admitted = true;
+                Ok(Slot { inbound: self.clone(), kind, took: None })
+            }
+            _ => Err(Micros(0)),
+        }
+    }
+
+    /// Lets queued requests begin, as far as there is room.
+    fn admit_queued(&self, next: Option<QueueTicket>) {
+        let mut next = next;
+        while let Some(ticket) = next {
+            let waiting = self.queued.borrow_mut().remove(&ticket);
+            let is_admitted = waiting.is_some_and(|waiting| waiting.send(()).is_ok());
+            let now = self.context.now();
+            next = match is_admitted {
+                true => self.backend.admission().admit_next(now),
+                false => self.backend.admission().release(now, 0, None),
+            };
+        }
+    }
+
+    // ---- The backend --------------------------------------------------------------------------------------
+
+    async fn run(self: Rc<Inbound>, mut slot: Slot, request: &Request, deadline: Micros) -> PeerResponse {
+        let started_at = self.context.now();
+        let BackendOutcome { mut response, rest } = self.client.send(request, deadline).await;
+        let took = self.context.now() - started_at;
+        match response.verdict() {
+            Verdict::Answered => {
+                slot.took = Some(took);
+                response.backend_us = took.0.max(0) as u64;
+            }
+            Verdict::MayHaveRun => self.context.count("broke_off"),
+            _ => {}
+        }
+        drop(slot);
+        let response = self.with_load(Response { id: request.id, ..response });
+        PeerResponse { rest, ..response.into() }
+    }
+}
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -1,25 +1,46 @@
-//! The data plane, in every proxy. Decisions without I/O: `attempts` (what becomes of a client's request after each try), `exchange` (what
-//! is open between two proxies), `operation` (a key beside its backend), `connection` (what is open at the backend), `door` (what may begin
-//! there), `purse` (further tries), `company` (the decision module for one service), `standstill` (a process that was frozen). State that
-//! the parts share: `link`, `pool`, `voters`, `pipe`, all held by `house`. With I/O, on top of it: `lobby` (requests that begin here),
-//! `links` (other proxies), `perform` and `dressing` (the backend here), `callboy` (replicas), `desk` (beats, readiness), `run` (the process).
+//! The data plane of the mesh, in every proxy.
+//!
+//! Decisions without I/O: [`attempts`] (what becomes of a client's request after each attempt), [`peer_exchange`] (what is open between two
+//! proxies), [`keyed_operation`] (a key beside its backend), [`backend_connection`] (what is open at the backend), [`admission`] (what may begin
+//! there), [`retry_budget`], [`service_balancer`] (the decision module for one service), [`stall_detector`], [`watched_replica`].
+//!
+//! Parts that own state: [`context`] (identity, settings, clock, counters), [`config_store`], [`services`] (endpoint list and balancers),
+//! [`local_backend`], [`link_load`], [`replicas`] and [`claim_client`] (the control plane as it is known here).
+//!
+//! The way of a request: [`outbound`] (accept, route, pick, attempt, retry or answer), [`peer_connections`] to the proxy beside the backend,
+//! there [`peer_server`], [`inbound`] (admit) and [`backend_exchange`]. [`control_client`] carries the connections to the replicas,
+//! [`local_api`] answers the platform and the backend, [`proxy`] puts the parts together, [`run`] is the process.
+#![warn(missing_docs)]
+
+pub mod admission;
+pub mod answer_parser;
 pub mod attempts;
-pub mod callboy;
-pub mod company;
-pub mod connection;
-pub mod desk;
-pub mod door;
-pub mod dressing;
-pub mod exchange;
-pub mod house;
-pub mod link;
-pub mod links;
-pub mod lobby;
-pub mod operation;
-pub mod perform;
-pub mod pipe;
-pub mod pool;
-pub mod purse;
+pub mod backend_connection;
+pub mod backend_exchange;
+pub mod backend_pool;
+pub mod body_pipe;
+pub mod claim_client;
+pub mod client_response;
+pub mod config_store;
+pub mod context;
+pub mod control_client;
+pub mod headers;
+pub mod heartbeat;
+pub mod inbound;
+pub mod keyed_operation;
+pub mod link_load;
+pub mod local_api;
+pub mod local_backend;
+pub mod outbound;
+pub mod peer_connections;
+pub mod peer_exchange;
+pub mod peer_link;
+pub mod peer_server;
+pub mod proxy;
+pub mod replicas;
+pub mod retry_budget;
 pub mod run;
-pub mod standstill;
-pub mod voters;
+pub mod service_balancer;
+pub mod services;
+pub mod stall_detector;
+pub mod watched_replica;
--- /dev/null
+++ b/crates/data-plane/src/outbound.rs
@@ -0,0 +1,509 @@
+//! Requests that begin on this machine, from a client or from the backend here. Read from top to bottom: accept, route, pick, attempt, retry or
+//! answer.
+//!
+//! 429 and 503 are answered only where nothing ran nor will, or where the request may be repeated anyway; what is given up is answered at
+//! once.
+use std::cell::Cell;
+use std::rc::Rc;
+
+use bytes::Bytes;
+use http_body_util::{BodyExt, LengthLimitError, Limited};
+use hyper::body::Incoming;
+use notchspool::units::{BackendId, Fate, Micros, TxnRef};
+use notchspool_idempotency::claim_proposal::Outcome as ClaimOutcome;
+use notchspool_mesh_config::route_config::{Route, RouteConfig, RouteKind};
+use notchspool_mesh_protocol::{Header, Request as PeerRequest, Response as PeerReply, Ticket, Verdict};
+
+use crate::attempts::{Action, Attempts, Event, RetryPolicy};
+use crate::claim_client::ClaimClient;
+use crate::client_response::{self, ClientResponse};
+use crate::config_store::ConfigStore;
+use crate::context::{Context, within};
+use crate::headers::{self, ATTEMPT_ID, OPERATION_KEY, TIME_LEFT};
+use crate::keyed_operation::NOT_RUN_HERE;
+use crate::peer_connections::PeerConnections;
+use crate::peer_link::{PeerResponse, without_answer};
+use crate::service_balancer::{AttemptEnd, BalancerAction};
+use crate::services::Services;
+use crate::stall_detector::LONG_STALL;
+
+/// A client that names no time waits for this.
+const DEFAULT_TIME_LEFT: Micros = Micros::ms(30_000);
+const MAX_TIME_MS: i64 = 600_000;
+/// Requests at once.
+const MAX_IN_FLIGHT: usize = 4_000;
+/// When to come back while no configuration is known, or too many requests are in flight.
+const NO_CONFIG_RETRY_AFTER: Micros = Micros::ms(200);
+const IN_FLIGHT_FULL_RETRY_AFTER: Micros = Micros::ms(300);
+/// When to come back after a claim that was withdrawn.
+const WITHDRAWN_RETRY_AFTER: Micros = Micros::ms(50);
+/// Refused clients come back no sooner than this.
+const MIN_RETRY_AFTER: Micros = Micros::ms(30);
+/// And are spread over this, where refusals are many.
+const RETRY_AFTER_SPREAD: Micros = Micros::ms(900);
+/// Refusals up to this part of all requests are taken for rare.
+const RARE_REFUSAL_PART: f64 = 0.02;
+const REFUSAL_SMOOTHING: f64 = 0.03;
+
+/// Serves requests that begin on this machine.
+pub struct Outbound {
+    context: Rc<Context>,
+    config: Rc<ConfigStore>,
+    services: Rc<Services>,
+    claims: Rc<ClaimClient>,
+    peers: Rc<PeerConnections>,
+    in_flight: Cell<usize>,
+    /// The part of requests that were refused lately, smoothed.
+    refused_part: Cell<f64>,
+}
+
+/// A request that was read completely.
+struct ClientRequest {
+    method: String,
+    target: String,
+    host: String,
+    headers: Vec<Header>,
+    body: Bytes,
+    attempt_id: String,
+    key: String,
+    /// Since when it stands here.
+    received_at: Micros,
+    /// Until when a response has its full value.
+    target_at: Micros,
+    deadline: Micros,
+}
+
+/// The head of a request, and what follows from it.
+struct RequestHead {
+    parts: hyper::http::request::Parts,
+    host: String,
+}
+
+/// A request in flight; where it is dropped unanswered the client has left.
+struct InFlight {
+    outbound: Rc<Outbound>,
+    service: String,
+    request: TxnRef,
+    is_answered: Cell<bool>,
+}
+
+impl Drop for InFlight {
+    fn drop(&mut self) {
+        if !self.is_answered.get() {
+            let context = &self.outbound.context;
+            context.count("clients_left");
+            let now = context.now();
+            self.outbound.services.with(&self.service, |b| b.on_client_left(now, self.request));
+        }
+    }
+}
+
+/// Counts a request while it is served.
+struct InFlightCount(Rc<Outbound>);
+
+impl Drop for InFlightCount {
+    fn drop(&mut self) {
+        self.0.in_flight.set(self.0.in_flight.get() - 1);
+    }
+}
+
+/// One request on its way: what stays the same over its attempts.
+struct Delivery<'a> {
+    route: &'a Route,
+    service: &'a str,
+    request: TxnRef,
+    client: &'a ClientRequest,
+}
+
+impl Outbound {
+    /// Routes by `config`, picks backends with `services`, and sends over `peers`.
+    pub fn new(
+        context: Rc<Context>,
+        config: Rc<ConfigStore>,
+        services: Rc<Services>,
+        claims: Rc<ClaimClient>,
+        peers: Rc<PeerConnections>,
+    ) -> Outbound {
+        let (in_flight, refused_part) = (Cell::new(0), Cell::new(0.0));
+        Outbound { context, config, services, claims, peers, in_flight, refused_part }
+    }
+
+    /// Requests that are served now.
+    pub fn in_flight(&self) -> usize {
+        self.in_flight.get()
+    }
+
+    // ---- Accept and route ---------------------------------------------------------------------------------
+
+    /// Serves one request.
+    pub async fn serve(self: Rc<Outbound>, request: hyper::Request<Incoming>) -> ClientResponse {
+        let Some(config) = self.config.current() else {
+            self.context.count("no_configuration");
+            return client_response::refused("no configuration is known here yet", NO_CONFIG_RETRY_AFTER);
+        };
+        if self.in_flight.get() >= MAX_IN_FLIGHT {
+            self.context.count("in_hand_full");
+            return client_response::refused(
+                "too many requests are in hand here",
+                IN_FLIGHT_FULL_RETRY_AFTER,
+            );
+        }
+        self.in_flight.set(self.in_flight.get() + 1);
+        let _counted = InFlightCount(self.clone());
+        match self.accept(&config, request).await {
+            Ok((route, client)) => self.route(&route, client).await,
+            Err(response) => response,
+        }
+    }
+
+    /// Finds the route, and reads the request completely.
+    async fn accept(
+        &self,
+        config: &RouteConfig,
+        request: hyper::Request<Incoming>,
+    ) -> Result<(Route, ClientRequest), ClientResponse> {
+        // Where this process stood still the request may have come as long ago.
+        let (now, age) = (self.context.now(), self.context.observe_running());
+        let received_at = now - age;
+        let (parts, body) = request.into_parts();
+        let head = RequestHead::new(parts);
+        let Some(route) = config.route(&head.host, head.parts.uri.path()) else {
+            self.context.count("no_route");
+            return Err(client_response::plain(404, "no route leads there"));
+        };
+        let time_left = head.time_left().min(route.timeout);
+        let deadline = if age >= LONG_STALL { received_at } else { now } + time_left;
+        let headers = headers::forwarded(&head.parts.headers);
+        let attempt_id = headers::single_value(&head.parts.headers, ATTEMPT_ID);
+        let Some(attempt_id) = attempt_id.filter(|id| !id.is_empty()) else {
+            return Err(client_response::plain(400, "a request needs its Notchspool-Attempt-Id, and one"));
+        };
+        let Some(key) = headers::single_value(&head.parts.headers, OPERATION_KEY) else {
+            return Err(client_response::plain(400, "the Notchspool-Operation-Key can't be told"));
+        };
+        let body = match Limited::new(body, config.limits.max_body_bytes).collect().await {
+            Ok(body) => body.to_bytes(),
+            Err(e) if e.is::<LengthLimitError>() => {
+                return Err(client_response::plain(413, "the body is over the limit"));
+            }
+            Err(_) => return Err(client_response::plain(400, "the body was cut short")),
+        };
+        let client = ClientRequest {
+            target: head.parts.uri.path_and_query().map_or("/", |target| target.as_str()).to_string(),
+            method: head.parts.method.to_string(),
+            host: head.host,
+            headers,
+            body,
+            attempt_id,
+            key,
+            received_at,
+            target_at: now + route.latency_target,
+            deadline,
+        };
+        Ok((route.clone(), client))
+    }
+
+    async fn route(self: &Rc<Outbound>, route: &Route, client: ClientRequest) -> ClientResponse {
+        let service = route.pick_service(self.context.random()).to_string();
+        let request = TxnRef(self.context.next_id());
+        let in_flight = InFlight {
+            outbound: self.clone(),
+            service: service.clone(),
+            request,
+            is_answered: Cell::new(false),
+        };
+        let now = self.context.now();
+        let actions = self.services.with(&service, |b| b.begin(now, request, route, client.deadline));
+        let delivery = Delivery { route, service: &service, request, client: &client };
+        let response = self.deliver(&delivery, actions).await;
+        in_flight.is_answered.set(true);
+        response
+    }
+
+    // ---- Pick, attempt, retry or answer -------------------------------------------------------------------
+
+    /// Sends a request where the decision module wants it, as long as [`Attempts`] lets it go on, to its answer.
+    async fn deliver(
+        self: &Rc<Outbound>,
+        delivery: &Delivery<'_>,
+        mut actions: Vec<BalancerAction>,
+    ) -> ClientResponse {
+        let mut attempts = Attempts::new(self.retry_policy(delivery));
+        let try_spend = || self.services.with(delivery.service, |b| b.retry_budget.try_spend());
+        // A failure that is answered where no other backend is found.
+        let mut failure: Option<PeerResponse> = None;
+        loop {
+            let picked = picked_backend(&actions, delivery.request);
+            let event = if picked.is_some() { Event::Picked } else { Event::NoBackend };
+            let action = attempts.apply(self.context.now(), event, &try_spend);
+            let (to, attempt, ticket) = match (picked, action) {
+                (Some(to), Action::Send { attempt, ticket }) => (to, attempt, ticket),
+                (picked, action) => {
+                    if picked.is_some() {
+                        self.release_unsent(delivery, attempts.sent());
+                    }
+                    return match failure.take() {
+                        Some(failure) => client_response::relayed(failure, &delivery.client.attempt_id),
+                        None => self.answer_without_backend(delivery, &attempts, action),
+                    };
+                }
+            };
+            let started_at = self.context.now();
+            let response = self.send(delivery, to, ticket).await;
+            let took = self.context.now() - started_at;
+            let now = self.context.now();
+            let utilisation = response.response.utilisation;
+            self.services.with(delivery.service, |b| b.on_load_report(now, to, utilisation));
+            let reached = self.evaluate(delivery, &mut attempts, &response.response, attempt).await;
+            let end = AttemptEnd {
+                attempt,
+                fate: self.fate(delivery, &response.response, reached.verdict),
+                took,
+                is_final: reached.action != Action::Retry,
+            };
+            let now = self.context.now();
+            actions = self.services.with(delivery.service, |b| b.on_attempt_end(now, delivery.request, end));
+            match reached.action {
+                Action::Retry => failure = self.on_retry(reached.verdict, response),
+                Action::Relay => {
+                    self.on_answered(false);
+                    return client_response::relayed(response, &delivery.client.attempt_id);
+                }
+                Action::FetchFromHolder => return self.fetch_from_holder(delivery, &response.response).await,
+                action => return self.answer_without_backend(delivery, &attempts, action),
+            }
+        }
+    }
+
+    fn retry_policy(&self, delivery: &Delivery<'_>) -> RetryPolicy {
+        let is_keyed = delivery.route.kind == RouteKind::Keyed && !delivery.client.key.is_empty();
+        let ticket = Ticket { boot_id: self.context.boot_id, number: delivery.request.0, attempt: 0 };
+        RetryPolicy {
+            idempotent: delivery.route.kind.is_idempotent(),
+            max_attempts: delivery.route.max_attempts,
+            deadline: delivery.client.deadline,
+            ticket: is_keyed.then_some(ticket),
+        }
+    }
+
+    /// A backend was picked, and the request is not sent there after all.
+    fn release_unsent(&self, delivery: &Delivery<'_>, attempt: u32) {
+        let (now, took) = (self.context.now(), Micros(0));
+        let end = AttemptEnd { attempt, fate: Fate::NeverSent, took, is_final: true };
+        self.services.with(delivery.service, |b| b.on_attempt_end(now, delivery.request, end));
+    }
+
+    /// What follows from a response, with a fence where it is not known whether a keyed request ran.
+    async fn evaluate(
+        &self,
+        delivery: &Delivery<'_>,
+        attempts: &mut Attempts,
+        response: &PeerReply,
+        attempt: u32,
+    ) -> Evaluated {
+        let try_spend = || self.services.with(delivery.service, |b| b.retry_budget.try_spend());
+        let verdict = response.verdict();
+        let action = attempts.apply(self.context.now(), Event::Response(response), &try_spend);
+        if action != Action::Fence {
+            return Evaluated { verdict, action };
+        }
+        let ticket = Ticket { boot_id: self.context.boot_id, number: self.context.next_id(), attempt };
+        let granted = self.claims.claim(&delivery.client.key, ticket).await == ClaimOutcome::Granted;
+        if granted {
+            self.context.count("fenced");
+        }
+        let action = attempts.apply(self.context.now(), Event::Fence { ticket, granted }, &try_spend);
+        let verdict = if granted { Verdict::NotRun } else { verdict };
+        Evaluated { verdict, action }
+    }
+
+    /// How an attempt ended, for the decision module. A proxy whose backend is full tells of load, which it reports, and not of illness.
+    fn fate(&self, delivery: &Delivery<'_>, response: &PeerReply, verdict: Verdict) -> Fate {
+        match verdict {
+            Verdict::Answered if response.status >= 500 => Fate::Errored,
+            Verdict::Answered => Fate::Settled,
+            Verdict::OtherInstance => Fate::TurnedAway,
+            Verdict::NotRun if response.utilisation == 0 => Fate::NoLink,
+            Verdict::MayHaveRun if self.context.now() >= delivery.client.deadline => Fate::TimedOut,
+            Verdict::MayHaveRun => Fate::Broken,
+            _ => Fate::NeverSent,
+        }
+    }
+
+    /// Counts a retry; a failure is kept, to be answered where no other backend is found.
+    fn on_retry(&self, verdict: Verdict, response: PeerResponse) -> Option<PeerResponse> {
+        match verdict {
+            Verdict::Answered => {
+                self.context.count("further_after_failure");
+                Some(response)
+            }
+            Verdict::MayHaveRun => {
+                self.context.count("further_after_silence");
+                None
+            }
+            _ => None,
+        }
+    }
+
+    /// Sends one attempt to the proxy beside a backend.
+    async fn send(
+        self: &Rc<Outbound>,
+        delivery: &Delivery<'_>,
+        to: BackendId,
+        ticket: Option<Ticket>,
+    ) -> PeerResponse {
+        let endpoint = self.services.with(delivery.service, |b| {
+            b.endpoint(to).map(|endpoint| (endpoint.instance.clone(), endpoint.proxy.clone()))
+        });
+        // It has left the list since it was drawn: nothing was sent.
+        let Some((instance, proxy)) = endpoint else {
+            return without_answer(0, Verdict::NotRun, "the backend is not listed any more").into();
+        };
+        let time_left = delivery.client.deadline - self.context.now();
+        let request = self.peer_request(delivery, instance, ticket, time_left);
+        let response = within(time_left, self.peers.send(&proxy, request)).await;
+        response.unwrap_or_else(|| without_answer(0, Verdict::MayHaveRun, "no answer in time").into())
+    }
+
+    fn peer_request(
+        &self,
+        delivery: &Delivery<'_>,
+        instance: String,
+        ticket: Option<Ticket>,
+        time_left: Micros,
+    ) -> PeerRequest {
+        let Delivery { route, service, client, .. } = delivery;
+        let now = self.context.now();
+        let ms = |time: Micros, min: i64| (time.0 / 1000).clamp(min, MAX_TIME_MS) as u32;
+        PeerRequest {
+            id: self.context.next_id(),
+            service: service.to_string(),
+            instance,
+            method: client.method.clone(),
+            target: client.target.clone(),
+            headers: client.headers.clone(),
+            body: client.body.clone(),
+            time_left_ms: ms(time_left, 1),
+            latency_target_ms: ms(route.latency_target, 1),
+            target_left_ms: ms(client.target_at - now, 0),
+            priority: route.priority,
+            idempotent: route.kind.is_idempotent(),
+            key: if ticket.is_some() { client.key.clone() } else { String::new() },
+            ticket,
+            attempt_id: client.attempt_id.clone(),
+            caller: self.context.settings().service.clone(),
+            host: client.host.clone(),
+            age_ms: ms(now - client.received_at, 0),
+        }
+    }
+
+    // ---- Answers without a backend's ----------------------------------------------------------------------
+
+    fn answer_without_backend(
+        &self,
+        delivery: &Delivery<'_>,
+        attempts: &Attempts,
+        action: Action,
+    ) -> ClientResponse {
+        let reason = &attempts.reason;
+        match action {
+            Action::Reject => {
+                self.context.count("declined");
+                let (route, attempt_id) = (&delivery.route.name, &delivery.client.attempt_id);
+                let (sent, left) = (attempts.sent(), delivery.client.deadline - self.context.now());
+                log::debug!(target: "outbound", "reject {route} {attempt_id} after {sent}: {reason}, {left:?} left");
+                self.on_answered(true);
+                client_response::refused(reason, self.retry_after(attempts.retry_after))
+            }
+            Action::InProgress => client_response::plain(409, "the operation is at work"),
+            Action::ResponseLost => {
+                client_response::plain(502, "the operation ran, and its answer is not known")
+            }
+            Action::Unanswered { timed_out } => self.unanswered(delivery, reason, timed_out),
+            _ => self.unanswered(delivery, reason, false),
+        }
+    }
+
+    /// It may have run, and there is no answer.
+    fn unanswered(&self, delivery: &Delivery<'_>, reason: &str, timed_out: bool) -> ClientResponse {
+        self.context.count("unanswered");
+        log::debug!(target: "outbound", "unanswered {}: {reason}", delivery.route.name);
+        client_response::plain(if timed_out { 504 } else { 502 }, reason)
+    }
+
+    /// The response to a key that another proxy holds.
+    async fn fetch_from_holder(
+        self: &Rc<Outbound>,
+        delivery: &Delivery<'_>,
+        held: &PeerReply,
+    ) -> ClientResponse {
+        let client = delivery.client;
+        let fetch = self.peers.fetch_response(&held.holder, &client.key, held.holder_boot_id);
+        let Some(response) = within(client.deadline - self.context.now(), fetch).await else {
+            return client_response::plain(504, "the holder of the key does not answer");
+        };
+        match response.verdict() {
+            Verdict::Answered => client_response::relayed(response.into(), &client.attempt_id),
+            Verdict::InProgress => client_response::plain(409, "the operation is at work"),
+            // It has not run there in that run of the holder, and is withdrawn: the next try claims it anew.
+            Verdict::NotRun if response.reason == NOT_RUN_HERE => {
+                client_response::refused(&response.reason, WITHDRAWN_RETRY_AFTER)
+            }
+            _ => client_response::plain(502, "the operation may have run, and its answer is not known"),
+        }
+    }
+
+    /// A request was answered, refused or not.
+    fn on_answered(&self, refused: bool) {
+        let before = self.refused_part.get();
+        let refused = f64::from(u8::from(refused));
+        self.refused_part.set(before + REFUSAL_SMOOTHING * (refused - before));
+    }
+
+    /// When a refused request is to come back: soon where refusals are rare, later and spread where they are many, so that those who come
+    /// back do not press on what is short already.
+    fn retry_after(&self, least: Micros) -> Micros {
+        let many = (self.refused_part.get() - RARE_REFUSAL_PART).max(0.0) * 2.0;
+        let spread = many.min(1.0) * (0.4 + 0.6 * self.context.random());
+        least.max(MIN_RETRY_AFTER) + RETRY_AFTER_SPREAD.times(spread)
+    }
+}
+
+/// What follows from a response.
+struct Evaluated {
+    verdict: Verdict,
+    action: Action,
+}
+
+/// Where the decision module wants this request; `None` where nowhere.
+fn picked_backend(actions: &[BalancerAction], request: TxnRef) -> Option<BackendId> {
+    let of_request = actions.iter().find(|action| {
+        matches!(
+            action,
+            BalancerAction::Send(of, _) | BalancerAction::Reject(of, _) | BalancerAction::Fail(of)
+                if *of == request
+        )
+    });
+    match of_request {
+        Some(BalancerAction::Send(_, to)) => Some(*to),
+        _ => None,
+    }
+}
+
+impl RequestHead {
+    fn new(parts: hyper::http::request::Parts) -> RequestHead {
+        let named = parts.headers.get("host").and_then(|host| host.to_str().ok()).unwrap_or_default();
+        let host = match named {
+            "" => parts.uri.host().unwrap_or_default(),
+            named => named,
+        };
+        RequestHead { host: host.to_string(), parts }
+    }
+
+    /// The time that the client has left.
+    fn time_left(&self) -> Micros {
+        let value = self.parts.headers.get(TIME_LEFT).and_then(|value| value.to_str().ok());
+        let ms = value.and_then(|value| value.parse::<i64>().ok()).filter(|ms| *ms > 0);
+        ms.map_or(DEFAULT_TIME_LEFT, |ms| Micros::ms(ms.min(MAX_TIME_MS)))
+    }
+}
--- /dev/null
+++ b/crates/data-plane/src/peer_connections.rs
@@ -0,0 +1,162 @@
+//! Connections to other proxies: one each way a pair, many requests at once. What was sent and not answered when a connection ends may have
+//! run; what never left has not.
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use notchspool::units::Micros;
+use notchspool_mesh_protocol::{FetchResponse, Payload, Request, Response, Verdict};
+use notchspool_runtime::frame_connection;
+use tokio::net::TcpStream;
+
+use crate::context::Context;
+use crate::inbound::Inbound;
+use crate::peer_exchange::{ExchangeId, MAX_SILENCE, OutgoingEvent};
+use crate::peer_link::{PeerLink, PeerResponse, without_answer};
+use crate::peer_server::PeerServer;
+
+/// A machine that does not take a connection by then is not there.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// A connection on which something is open is given up after this silence.
+const SILENCE_TIMEOUT: Micros = Micros::ms(500);
+/// On thin links responses wait behind others: so many milliseconds more for a speed of 1 Mbit/s, less for faster ones, but no more than
+/// the longest silence.
+const THIN_LINK_MS: f64 = 20_000.0;
+/// Connections at most, each way.
+const MAX_CONNECTIONS: usize = 1_000;
+
+/// All connections to other proxies.
+pub struct PeerConnections {
+    context: Rc<Context>,
+    inbound: Rc<Inbound>,
+    /// Connections that were opened here, by address.
+    links: RefCell<BTreeMap<String, Rc<PeerLink>>>,
+    /// How many others opened here.
+    accepted: Cell<usize>,
+}
+
+impl PeerConnections {
+    /// No connection is open yet. `inbound` serves requests for the backend here.
+    pub fn new(context: Rc<Context>, inbound: Rc<Inbound>) -> PeerConnections {
+        PeerConnections { context, inbound, links: RefCell::default(), accepted: Cell::new(0) }
+    }
+
+    /// Sends a request to the proxy beside a backend. Dropped, it is taken back there where that can still be done.
+    pub async fn send(self: &Rc<PeerConnections>, proxy: &str, request: Request) -> PeerResponse {
+        if proxy == self.context.address {
+            return self.inbound.clone().serve(request).await;
+        }
+        self.exchange(proxy, request.id, Payload::Request(request)).await
+    }
+
+    /// The response to a key that another proxy holds, in that run of it.
+    pub async fn fetch_response(
+        self: &Rc<PeerConnections>,
+        holder: &str,
+        key: &str,
+        holder_boot_id: u64,
+    ) -> Response {
+        let id = self.context.next_id();
+        if holder == self.context.address {
+            return self.inbound.held_response(id, key, holder_boot_id);
+        }
+        let fetch = FetchResponse { id, key: key.to_string(), holder_boot_id };
+        self.exchange(holder, id, Payload::FetchResponse(fetch)).await.response
+    }
+
+    async fn exchange(
+        self: &Rc<PeerConnections>,
+        address: &str,
+        id: ExchangeId,
+        payload: Payload,
+    ) -> PeerResponse {
+        let Some(link) = self.link(address) else {
+            return without_answer(id, Verdict::NotRun, "no link").into();
+        };
+        let (response, guard) = link.request(self.context.now(), id, payload);
+        let response = response
+            .await
+            .unwrap_or_else(|_| without_answer(id, Verdict::MayHaveRun, "the link ended").into());
+        // A response of which more follows is given up by its reader.
+        guard.disarm();
+        response
+    }
+
+    /// The connection to this address, which is opened where there is none.
+    fn link(self: &Rc<PeerConnections>, address: &str) -> Option<Rc<PeerLink>> {
+        if let Some(link) = self.links.borrow().get(address).filter(|link| link.accepts_requests()) {
+            return Some(link.clone());
+        }
+        if self.links.borrow().len() >= MAX_CONNECTIONS {
+            return None;
+        }
+        let to: SocketAddr = address.parse().ok()?;
+        let link = PeerLink::new(self.context.now());
+        link.sender.send(Payload::Hello(self.context.hello()));
+        self.links.borrow_mut().insert(address.to_string(), link.clone());
+        tokio::task::spawn_local(self.clone().carry_outgoing(link.clone(), to, address.to_string()));
+        Some(link)
+    }
+
+    async fn carry_outgoing(self: Rc<PeerConnections>, link: Rc<PeerLink>, to: SocketAddr, address: String) {
+        let end = match frame_connection::connect(to, CONNECT_TIMEOUT).await {
+            Ok(stream) => {
+                link.apply(self.context.now(), OutgoingEvent::Connected);
+                let on_message = |payload| self.on_message(&link, payload);
+                let run = frame_connection::run(stream, link.sender.clone(), None, on_message);
+                run.await.to_string()
+            }
+            Err(e) => {
+                link.sender.abort();
+                e.to_string()
+            }
+        };
+        log::debug!(target: "peers", "lose {address}: {end}");
+        link.apply(self.context.now(), OutgoingEvent::Closed);
+        let mut links = self.links.borrow_mut();
+        if links.get(&address).is_some_and(|current| Rc::ptr_eq(current, &link)) {
+            links.remove(&address);
+        }
+    }
+
+    fn on_message(&self, link: &Rc<PeerLink>, payload: Payload) {
+        let now = self.context.now();
+        let aborted = match payload {
+            Payload::Response(response) => link.on_response(now, response),
+            Payload::BodyChunk(chunk) => link.on_body_chunk(now, chunk),
+            Payload::Pong(pong) => link.apply(now, OutgoingEvent::Pong(pong.number)),
+            _ => None,
+        };
+        if let Some(reason) = aborted {
+            self.context.count("links_astray");
+            log::debug!(target: "peers", "end one: {reason}");
+        }
+    }
+
+    /// Looks after connections on which something is open.
+    pub fn tick(&self) {
+        let now = self.context.now();
+        let link_mbps = self.context.settings().link_mbps.max(1.0);
+        let thin_link = Micros::ms((THIN_LINK_MS / link_mbps) as i64);
+        let max_silence = (SILENCE_TIMEOUT + thin_link).min(MAX_SILENCE);
+        let links: Vec<Rc<PeerLink>> = self.links.borrow().values().cloned().collect();
+        for link in links {
+            let tick = OutgoingEvent::Tick { read_count: link.sender.read_count(), max_silence };
+            if link.apply(now, tick).is_some() {
+                self.context.count("links_silent");
+            }
+        }
+    }
+
+    /// Carries a connection that another proxy opened: requests for the backend here.
+    pub async fn carry_incoming(self: Rc<PeerConnections>, stream: TcpStream) {
+        if self.accepted.get() >= MAX_CONNECTIONS {
+            return;
+        }
+        self.accepted.set(self.accepted.get() + 1);
+        PeerServer::new(self.context.clone(), self.inbound.clone()).carry(stream).await;
+        self.accepted.set(self.accepted.get() - 1);
+    }
+}
--- /dev/null
+++ b/crates/data-plane/src/peer_link.rs
@@ -0,0 +1,185 @@
+//! One connection to another proxy, and what comes back over it. `peer_connections` carries them.
+use std::cell::{Cell, RefCell};
+use std::rc::Rc;
+
+use notchspool::units::Micros;
+use notchspool_mesh_protocol::{BodyChunk, BodyConsumed, Cancel, Payload, Ping, Response, Verdict};
+use notchspool_runtime::frame_connection::FrameSender;
+use tokio::sync::oneshot;
+
+use crate::body_pipe::{BodyEnd, BodyPipe};
+use crate::peer_exchange::{ExchangeId, OutgoingAction, OutgoingEvent, OutgoingExchanges};
+
+/// A response, and the rest of it where it is streamed. Where it is dropped before the rest has come, the rest is given up.
+pub struct PeerResponse {
+    /// What became of the request.
+    pub response: Response,
+    /// The rest of the body.
+    pub rest: Option<BodyPipe>,
+    /// Tells the sender of the rest how many bytes were passed on.
+    pub on_consumed: Box<dyn Fn(usize)>,
+}
+
+impl From<Response> for PeerResponse {
+    fn from(response: Response) -> PeerResponse {
+        PeerResponse { response, rest: None, on_consumed: Box::new(|_| ()) }
+    }
+}
+
+/// A response with this verdict, and nothing in it but the reason.
+pub fn without_answer(id: ExchangeId, verdict: Verdict, reason: &str) -> Response {
+    Response { id, verdict: verdict.into(), reason: reason.to_string(), ..Response::default() }
+}
+
+type Waiting = oneshot::Sender<PeerResponse>;
+
+/// A connection that this proxy opened.
+pub struct PeerLink {
+    /// Its sending end.
+    pub sender: FrameSender,
+    exchanges: RefCell<OutgoingExchanges<Waiting, BodyPipe>>,
+}
+
+/// Abandons an exchange where its wait, or the rest of its response, is dropped: the other side is told.
+pub struct ExchangeGuard {
+    link: Rc<PeerLink>,
+    id: ExchangeId,
+    is_armed: Cell<bool>,
+}
+
+impl ExchangeGuard {
+    fn new(link: &Rc<PeerLink>, id: ExchangeId) -> ExchangeGuard {
+        ExchangeGuard { link: link.clone(), id, is_armed: Cell::new(true) }
+    }
+
+    /// It has its response: the rest of one is given up by its reader.
+    pub fn disarm(&self) {
+        self.is_armed.set(false);
+    }
+}
+
+impl Drop for ExchangeGuard {
+    fn drop(&mut self) {
+        if self.is_armed.get() {
+            // The time matters only for what is heard.
+            self.link.apply(Micros(0), OutgoingEvent::Abandon(self.id));
+        }
+    }
+}
+
+/// Why a connection was ended by this side.
+pub type AbortReason = &'static str;
+
+impl PeerLink {
+    /// A connection that is being opened.
+    pub fn new(now: Micros) -> Rc<PeerLink> {
+        let exchanges = RefCell::new(OutgoingExchanges::new(now));
+        Rc::new(PeerLink { sender: FrameSender::default(), exchanges })
+    }
+
+    /// Whether new requests may go on it.
+    pub fn accepts_requests(&self) -> bool {
+        self.sender.is_open() && self.exchanges.borrow().accepts_requests()
+    }
+
+    /// Something happened to it; what that asks for is done. Why the connection was ended for it, if so.
+    pub fn apply(&self, now: Micros, event: OutgoingEvent<Waiting, BodyPipe>) -> Option<AbortReason> {
+        let id = match &event {
+            OutgoingEvent::Request(id, _) | OutgoingEvent::Response(id, _) | OutgoingEvent::Abandon(id) => {
+                *id
+            }
+            _ => 0,
+        };
+        let action = self.exchanges.borrow_mut().apply(now, event);
+        match action {
+            OutgoingAction::Cancel => {
+                self.sender.send(Payload::Cancel(Cancel { id }));
+            }
+            OutgoingAction::NotRun(reason, waiting) => {
+                // Whoever waited may have given up.
+                let _ = waiting.send(without_answer(id, Verdict::NotRun, reason).into());
+            }
+            OutgoingAction::Ping(number) => {
+                self.sender.send(Payload::Ping(Ping { number }));
+            }
+            OutgoingAction::Finish => self.sender.finish(),
+            OutgoingAction::Abort(reason) => return Some(self.abort(reason)),
+            OutgoingAction::Closed { verdict, waiting, streams } => {
+                for (id, waiting) in waiting {
+                    let _ = waiting.send(without_answer(id, verdict, "the link ended").into());
+                }
+                streams.iter().for_each(|pipe| pipe.finish(BodyEnd::Truncated));
+            }
+            OutgoingAction::Nothing
+            | OutgoingAction::Send
+            | OutgoingAction::Deliver(_)
+            | OutgoingAction::Forward(_) => {}
+        }
+        None
+    }
+
+    fn abort(&self, reason: AbortReason) -> AbortReason {
+        self.sender.abort();
+        reason
+    }
+
+    /// Sends a request on it. What is to be waited for, and what abandons it where it is dropped.
+    pub fn request(
+        self: &Rc<PeerLink>,
+        now: Micros,
+        id: ExchangeId,
+        payload: Payload,
+    ) -> (oneshot::Receiver<PeerResponse>, ExchangeGuard) {
+        let (waiting, response) = oneshot::channel();
+        let action = self.exchanges.borrow_mut().apply(now, OutgoingEvent::Request(id, waiting));
+        if let OutgoingAction::NotRun(reason, waiting) = action {
+            let _ = waiting.send(without_answer(id, Verdict::NotRun, reason).into());
+        } else if !self.sender.send(payload) {
+            self.apply(now, OutgoingEvent::Unsent(id));
+        }
+        (response, ExchangeGuard::new(self, id))
+    }
+
+    /// A response came, of which more may follow. Why the connection was ended for it, if so.
+    pub fn on_response(self: &Rc<PeerLink>, now: Micros, response: Response) -> Option<AbortReason> {
+        let id = response.id;
+        let mut response = PeerResponse::from(response);
+        response.rest = response.response.more.then(BodyPipe::default);
+        let event = OutgoingEvent::Response(id, response.rest.clone());
+        let action = self.exchanges.borrow_mut().apply(now, event);
+        match action {
+            OutgoingAction::Deliver(waiting) => {
+                if response.rest.is_some() {
+                    let guard = ExchangeGuard::new(self, id);
+                    response.on_consumed = Box::new(move |bytes| {
+                        let consumed = BodyConsumed { id, bytes: bytes as u64 };
+                        guard.link.sender.send(Payload::BodyConsumed(consumed));
+                    });
+                }
+                // Whoever waited may have given up; then the rest is given up by this.
+                let _ = waiting.send(response);
+                None
+            }
+            OutgoingAction::Abort(reason) => Some(self.abort(reason)),
+            _ => None,
+        }
+    }
+
+    /// A part of a streamed response came. Why the connection was ended for it, if so.
+    pub fn on_body_chunk(&self, now: Micros, chunk: BodyChunk) -> Option<AbortReason> {
+        let event = OutgoingEvent::BodyChunk { id: chunk.id, last: chunk.last };
+        let action = self.exchanges.borrow_mut().apply(now, event);
+        match action {
+            OutgoingAction::Forward(pipe) => {
+                pipe.write(chunk.bytes);
+                if chunk.last {
+                    let end = if chunk.truncated { BodyEnd::Truncated } else { BodyEnd::Complete };
+                    pipe.finish(end);
+                }
+                None
+            }
+            OutgoingAction::Abort(reason) => Some(self.abort(reason)),
+            _ => None,
+        }
+    }
+}
--- /dev/null
+++ b/crates/data-plane/src/peer_server.rs
@@ -0,0 +1,183 @@
+//! The other end of a connection that another proxy opened: its requests for the backend here, and their responses.
+use std::cell::{Cell, RefCell};
+use std::collections::HashMap;
+use std::rc::Rc;
+
+use notchspool_mesh_protocol::{BodyChunk, BodyConsumed, Payload, Request, Response, Verdict};
+use notchspool_runtime::frame_connection::{self, FrameSender};
+use tokio::net::TcpStream;
+use tokio::sync::Notify;
+use tokio::task::AbortHandle;
+
+use crate::body_pipe::{BodyEnd, BodyPipe, CHUNK_BYTES};
+use crate::context::Context;
+use crate::inbound::Inbound;
+use crate::link_load::UnsentBytes;
+use crate::peer_exchange::{ExchangeId, IncomingAction, IncomingEvent, IncomingExchanges};
+use crate::peer_link::without_answer;
+use crate::stall_detector;
+
+/// Bytes of a streamed response that may be on their way: what the link carries in this time, within bounds.
+const WINDOW_SECONDS: f64 = 0.05;
+const MIN_WINDOW_BYTES: usize = 32 << 10;
+const MAX_WINDOW_BYTES: usize = 256 << 10;
+
+/// Flow control of a streamed response: how much of it was sent and not taken yet.
+#[derive(Default)]
+struct FlowControl {
+    outstanding_bytes: Cell<usize>,
+    consumed: Notify,
+}
+
+/// One connection that another proxy opened.
+pub struct PeerServer {
+    context: Rc<Context>,
+    inbound: Rc<Inbound>,
+    sender: FrameSender,
+    exchanges: RefCell<IncomingExchanges<AbortHandle>>,
+    streams: RefCell<HashMap<ExchangeId, Rc<FlowControl>>>,
+}
+
+impl PeerServer {
+    /// Serves requests with `inbound`.
+    pub fn new(context: Rc<Context>, inbound: Rc<Inbound>) -> Rc<PeerServer> {
+        Rc::new(PeerServer {
+            context,
+            inbound,
+            sender: FrameSender::default(),
+            exchanges: RefCell::default(),
+            streams: RefCell::default(),
+        })
+    }
+
+    /// Carries the connection until it ends; work that is open then is ended with it.
+    pub async fn carry(self: Rc<PeerServer>, stream: TcpStream) {
+        frame_connection::configure_socket(&stream);
+        let on_message = |payload| self.on_message(payload);
+        let reason = frame_connection::run(stream, self.sender.clone(), None, on_message).await;
+        log::debug!(target: "peers", "a connection from outside ends: {reason}");
+        let action = self.exchanges.borrow_mut().apply(IncomingEvent::Closed);
+        if let IncomingAction::AbortAll(handles) = action {
+            handles.iter().for_each(AbortHandle::abort);
+        }
+    }
+
+    fn on_message(self: &Rc<PeerServer>, payload: Payload) {
+        match payload {
+            Payload::Request(request) => self.on_request(request),
+            Payload::Cancel(cancel) => self.on_cancel(cancel.id),
+            Payload::BodyConsumed(consumed) => self.on_body_consumed(&consumed),
+            Payload::FetchResponse(fetch) => {
+                let response = self.inbound.held_response(fetch.id, &fetch.key, fetch.holder_boot_id);
+                self.sender.send(Payload::Response(response));
+            }
+            Payload::Ping(ping) => {
+                self.sender.send(Payload::Pong(ping));
+            }
+            Payload::Hello(_) => {}
+            _ => self.context.count("messages_unknown"),
+        }
+    }
+
+    fn on_request(self: &Rc<PeerServer>, request: Request) {
+        let id = request.id;
+        let request = stall_detector::aged(request, self.context.observe_running());
+        let action = self.exchanges.borrow_mut().apply(IncomingEvent::Request(id));
+        match action {
+            IncomingAction::Start => {
+                let task = tokio::task::spawn_local(self.clone().serve(request));
+                let started = IncomingEvent::Started(id, task.abort_handle());
+                self.exchanges.borrow_mut().apply(started);
+            }
+            IncomingAction::Reject => {
+                let response = without_answer(id, Verdict::NotRun, "too many requests on the link");
+                self.sender.send(Payload::Response(response));
+            }
+            _ => {
+                self.context.count("links_astray");
+                self.sender.abort();
+            }
+        }
+    }
+
+    async fn serve(self: Rc<PeerServer>, request: Request) {
+        let id = request.id;
+        let served = self.inbound.clone().serve(request).await;
+        let length = served.response.length as usize;
+        self.sender.send(Payload::Response(Response { id, ..served.response }));
+        if let Some(pipe) = served.rest {
+            let flow_control = Rc::new(FlowControl::default());
+            self.streams.borrow_mut().insert(id, flow_control.clone());
+            let unsent = self.inbound.link_load().add(length);
+            self.stream_body(id, &pipe, &flow_control, &unsent).await;
+            drop(unsent);
+            self.streams.borrow_mut().remove(&id);
+        }
+        self.exchanges.borrow_mut().apply(IncomingEvent::Finished(id));
+    }
+
+    fn on_cancel(&self, id: ExchangeId) {
+        self.streams.borrow_mut().remove(&id);
+        let action = self.exchanges.borrow_mut().apply(IncomingEvent::Cancel(id));
+        if let IncomingAction::Abort(task) = action {
+            task.abort();
+        }
+    }
+
+    fn on_body_consumed(&self, consumed: &BodyConsumed) {
+        if let Some(flow_control) = self.streams.borrow().get(&consumed.id) {
+            let outstanding = flow_control.outstanding_bytes.get().saturating_sub(consumed.bytes as usize);
+            flow_control.outstanding_bytes.set(outstanding);
+            flow_control.consumed.notify_one();
+        }
+    }
+
+    fn window_bytes(&self) -> usize {
+        let bytes = self.context.link_bytes_per_second() * WINDOW_SECONDS;
+        (bytes as usize).clamp(MIN_WINDOW_BYTES, MAX_WINDOW_BYTES)
+    }
+
+    /// Sends a body chunk by chunk, as fast as the other side passes it on.
+    async fn stream_body(
+        &self,
+        id: ExchangeId,
+        pipe: &BodyPipe,
+        flow_control: &FlowControl,
+        unsent: &UnsentBytes,
+    ) {
+        let window_bytes = self.window_bytes();
+        let _guard = AbandonOnDrop(pipe);
+        loop {
+            while flow_control.outstanding_bytes.get() >= window_bytes {
+                flow_control.consumed.notified().await;
+            }
+            // Small responses go between the chunks.
+            if !self.sender.wait_until_below(CHUNK_BYTES).await {
+                return;
+            }
+            let chunk = match pipe.next().await {
+                Ok(bytes) => BodyChunk { id, bytes, ..BodyChunk::default() },
+                Err(end) => {
+                    let truncated = end == BodyEnd::Truncated;
+                    BodyChunk { id, last: true, truncated, ..BodyChunk::default() }
+                }
+            };
+            let bytes = chunk.bytes.len();
+            flow_control.outstanding_bytes.set(flow_control.outstanding_bytes.get() + bytes);
+            unsent.on_sent(bytes);
+            let last = chunk.last;
+            if !self.sender.send(Payload::BodyChunk(chunk)) || last {
+                return;
+            }
+        }
+    }
+}
+
+/// Where the sending is given up, the writer of the pipe stops.
+struct AbandonOnDrop<'a>(&'a BodyPipe);
+
+impl Drop for AbandonOnDrop<'_> {
+    fn drop(&mut self) {
+        self.0.abandon();
+    }
+}
--- a/crates/data-plane/src/run.rs
+++ b/crates/data-plane/src/run.rs
@@ -2,7 +2,6 @@
 use std::cell::RefCell;
 use std::convert::Infallible;
 use std::net::SocketAddr;
-use std::path::Path;
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -10,208 +9,233 @@
 use hyper::{Request, Response};
 use hyper_util::rt::{TokioIo, TokioTimer};
 use notchspool::units::Micros;
-use notchspool_endpoint_registry::heartbeats::Event;
-use notchspool_runtime::node_settings::NodeSettings;
+use notchspool_mesh_config::route_config::Limits;
 use notchspool_runtime::program::{CheckedSettings, ServiceResult};
 use notchspool_runtime::random_id;
-use notchspool_runtime::signals::{Event as Signalled, Signals};
+use notchspool_runtime::signals::{Event, Signals};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-use crate::house::House;
-use crate::pipe::Answer;
+use crate::body_pipe::ResponseBody;
+use crate::config_store::ConfigStore;
+use crate::context::Context;
+use crate::local_api::LocalApi;
+use crate::outbound::Outbound;
+use crate::proxy::Proxy;
 
-/// How often the proxy looks after its links and companies.
-const TICK: Duration = Duration::from_millis(100);
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 /// Clients' connections at most.
-const MOST_CONNS: usize = 1_500;
+const MAX_CONNECTIONS: usize = 1_500;
+/// After a failed accept.
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
+/// Bounds of what a connection may be idle, and of the buffer for a request's head.
+const MIN_HEADER_TIMEOUT_US: i64 = 1_000_000;
+const MAX_HEADER_TIMEOUT_US: i64 = 600_000_000;
+const MIN_HEADER_BUFFER: usize = 8 << 10;
+const MAX_HEADER_BUFFER: usize = 1 << 20;
+const EXTRA_HEADER_BUFFER: usize = 8 << 10;
 /// Clients are sent here for some time after a proxy says that it is not ready.
-const STILL_SENT: Micros = Micros::ms(2_200);
+const STILL_SENT_TIME: Micros = Micros::ms(2_200);
 /// Until all proxies have heard that this one goes.
-const TELLING: Micros = Micros::ms(200);
-/// Kept clear of the end of the grace.
-const MARGIN: Micros = Micros::ms(700);
+const LEAVE_NOTICE_TIME: Micros = Micros::ms(200);
+/// Kept clear of the end of the grace period.
+const GRACE_MARGIN: Micros = Micros::ms(700);
+/// What was written last has to leave.
+const FLUSH_TIME: Duration = Duration::from_millis(60);
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-#[derive(Clone, Copy, PartialEq)]
-enum Side {
-    Lobby,
-    Desk,
+/// Where the operators' settings say that a proxy listens.
+#[derive(Clone, Copy, Debug)]
+pub struct Listeners {
+    /// Requests of clients and of the backend here.
+    pub outbound: SocketAddr,
+    /// Whether clients may be sent here.
+    pub readiness: SocketAddr,
+    /// Heartbeats of the backend here.
+    pub control_plane: SocketAddr,
 }
 
-/// Takes connections at one listener till `ends` says so.
-fn listen(
-    house: Rc<House>,
-    listener: TcpListener,
-    side: Side,
-    mut ends: watch::Receiver<bool>,
-    open: Rc<RefCell<usize>>,
-) {
-    tokio::task::spawn_local(async move {
-        loop {
-            let accepted = tokio::select! {
-                accepted = listener.accept() => accepted,
-                _ = ends.changed() => return,
-            };
-            let Ok((stream, _)) = accepted else {
-                tokio::time::sleep(Duration::from_millis(20)).await;
-                continue;
-            };
-            if *open.borrow() >= MOST_CONNS {
-                house.count("connections_full");
-                continue;
-            }
-            *open.borrow_mut() += 1;
-            let (house, ends, open) = (house.clone(), ends.clone(), open.clone());
-            tokio::task::spawn_local(async move {
-                connection(house, stream, side, ends).await;
-                *open.borrow_mut() -= 1;
-            });
-        }
-    });
+/// Who serves the connections of a listener.
+#[derive(Clone)]
+enum Service {
+    Outbound(Rc<Outbound>),
+    Api(Rc<LocalApi>),
 }
 
-async fn answer(
-    house: Rc<House>,
-    side: Side,
-    request: Request<Incoming>,
-) -> Result<Response<Answer>, Infallible> {
-    Ok(match side {
-        Side::Lobby => house.serve(request).await,
-        Side::Desk => house.attend_desk(request).await,
-    })
+impl Service {
+    async fn serve(self, request: Request<Incoming>) -> Result<Response<ResponseBody>, Infallible> {
+        Ok(match self {
+            Service::Outbound(outbound) => outbound.serve(request).await,
+            Service::Api(api) => api.serve(request).await,
+        })
+    }
 }
 
-async fn connection(house: Rc<House>, stream: TcpStream, side: Side, mut ends: watch::Receiver<bool>) {
-    let _ = stream.set_nodelay(true);
-    let limits = house.script.borrow().as_ref().map(|s| s.limits).unwrap_or_default();
-    let patience = limits.idle_timeout.0.max(limits.header_timeout.0).clamp(1_000_000, 600_000_000);
-    let mut http = hyper::server::conn::http1::Builder::new();
-    http.timer(TokioTimer::new())
-        .header_read_timeout(Duration::from_micros(patience as u64))
-        .max_buf_size(limits.max_header_bytes.clamp(8 << 10, 1 << 20) + (8 << 10));
-    let service = hyper::service::service_fn(move |request| answer(house.clone(), side, request));
-    let conn = http.serve_connection(TokioIo::new(stream), service);
-    let mut conn = std::pin::pin!(conn);
-    let mut leaving = *ends.borrow();
-    if leaving {
-        conn.as_mut().graceful_shutdown();
-    }
-    loop {
-        tokio::select! {
-            // A client that leaves early is no fault of ours.
-            _ = conn.as_mut() => return,
-            _ = ends.changed(), if !leaving => {
-                leaving = true;
-                conn.as_mut().graceful_shutdown();
+/// Connections of one kind: taken, served, and ended in order.
+#[derive(Clone)]
+struct HttpServer {
+    service: Service,
+    context: Rc<Context>,
+    config: Rc<ConfigStore>,
+    /// Turns true when the connections are to end.
+    is_closing: watch::Receiver<bool>,
+    open: Rc<RefCell<usize>>,
+}
+
+impl HttpServer {
+    /// Takes connections until they are to end.
+    fn listen(&self, listener: TcpListener) {
+        let mut server = self.clone();
+        tokio::task::spawn_local(async move {
+            loop {
+                let accepted = tokio::select! {
+                    accepted = listener.accept() => accepted,
+                    _ = server.is_closing.changed() => return,
+                };
+                let Ok((stream, _)) = accepted else {
+                    tokio::time::sleep(ACCEPT_RETRY_INTERVAL).await;
+                    continue;
+                };
+                if *server.open.borrow() >= MAX_CONNECTIONS {
+                    server.context.count("connections_full");
+                    continue;
+                }
+                *server.open.borrow_mut() += 1;
+                let server = server.clone();
+                tokio::task::spawn_local(async move {
+                    let open = server.open.clone();
+                    server.carry(stream).await;
+                    *open.borrow_mut() -= 1;
+                });
             }
-        }
+        });
     }
-}
 
-/// Reads the settings file again; one that makes no sense changes nothing.
-fn reread(house: &Rc<House>, file: &Path) {
-    match NodeSettings::read(file) {
-        Ok(told) => {
-            let changed = *house.told.borrow() != told;
-            if changed {
-                log::info!(target: "proxy", "settings have changed");
-                // Whoever serves control tells of the set, though all that voted when this one last heard may be gone.
-                told.seeds.iter().map(|s| told.peer_address_of(s)).for_each(|seed| house.call(seed));
-                *house.told.borrow_mut() = told;
+    async fn carry(mut self, stream: TcpStream) {
+        // Without it the connection works all the same.
+        let _ = stream.set_nodelay(true);
+        let limits = self.config.current().map(|config| config.limits).unwrap_or_default();
+        let service = self.service.clone();
+        let http = http_builder(&limits);
+        let service = hyper::service::service_fn(move |request| service.clone().serve(request));
+        let mut connection = std::pin::pin!(http.serve_connection(TokioIo::new(stream), service));
+        let mut is_closing = *self.is_closing.borrow();
+        if is_closing {
+            connection.as_mut().graceful_shutdown();
+        }
+        loop {
+            tokio::select! {
+                // A client that leaves early is no fault of ours.
+                _ = connection.as_mut() => return,
+                _ = self.is_closing.changed(), if !is_closing => {
+                    is_closing = true;
+                    connection.as_mut().graceful_shutdown();
+                }
             }
         }
-        Err(e) => log::warn!(target: "proxy", "settings stay as they were: {e}"),
     }
 }
 
-/// Where the operators' settings say that a proxy listens.
-#[derive(Clone, Copy, Debug)]
-pub struct Listeners {
-    /// Requests of clients and of the backend here.
-    pub outbound: SocketAddr,
-    /// Whether clients may be sent here.
-    pub readiness: SocketAddr,
-    /// Heartbeats of the backend here, and operators' calls.
-    pub control_plane: SocketAddr,
+fn http_builder(limits: &Limits) -> hyper::server::conn::http1::Builder {
+    let timeout_us = limits.idle_timeout.0.max(limits.header_timeout.0);
+    let timeout_us = timeout_us.clamp(MIN_HEADER_TIMEOUT_US, MAX_HEADER_TIMEOUT_US) as u64;
+    let buffer = limits.max_header_bytes.clamp(MIN_HEADER_BUFFER, MAX_HEADER_BUFFER) + EXTRA_HEADER_BUFFER;
+    let mut http = hyper::server::conn::http1::Builder::new();
+    http.timer(TokioTimer::new()).header_read_timeout(Duration::from_micros(timeout_us)).max_buf_size(buffer);
+    http
 }
 
-/// Runs a proxy until SIGTERM.
-pub async fn run(settings: CheckedSettings<Listeners>, signals: Signals) -> ServiceResult {
-    let CheckedSettings { node: told, file, listeners } = settings;
-    let Listeners { outbound, readiness, control_plane: control } = listeners;
-    let mut signals = signals.watch(&file);
-    let grace = told.bounds.grace;
-    let inner = TcpListener::bind(told.peer_address()).await?;
-    let seeds: Vec<String> = told.seeds.iter().map(|s| told.peer_address_of(s)).collect();
-    let house = House::open(told, random_id());
-    let (end, ends) = watch::channel(false);
-    let (end_desk, ends_desk) = watch::channel(false);
-    let open = Rc::new(RefCell::new(0));
-    let front = TcpListener::bind(outbound).await?;
-    listen(house.clone(), front, Side::Lobby, ends, open.clone());
-    for at in [readiness, control] {
-        listen(house.clone(), TcpListener::bind(at).await?, Side::Desk, ends_desk.clone(), Rc::default());
-    }
-    let links = house.clone();
+fn accept_peers(proxy: &Proxy, listener: TcpListener) {
+    let peers = proxy.peers.clone();
     tokio::task::spawn_local(async move {
         loop {
-            match inner.accept().await {
-                Ok((stream, _)) => drop(tokio::task::spawn_local(links.clone().carry(stream))),
-                Err(_) => tokio::time::sleep(Duration::from_millis(20)).await,
+            match listener.accept().await {
+                Ok((stream, _)) => drop(tokio::task::spawn_local(peers.clone().carry_incoming(stream))),
+                Err(_) => tokio::time::sleep(ACCEPT_RETRY_INTERVAL).await,
             }
         }
     });
-    seeds.into_iter().for_each(|s| house.call(s));
-    let ticks = house.clone();
+}
+
+fn run_ticks(proxy: &Rc<Proxy>) {
+    let proxy = proxy.clone();
     tokio::task::spawn_local(async move {
-        let mut tick = tokio::time::interval(TICK);
-        tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-        let mut n = 0u64;
+        let mut interval = tokio::time::interval(TICK_INTERVAL);
+        interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+        let mut ticks = 0u64;
         loop {
-            tick.tick().await;
-            n += 1;
-            ticks.runs();
-            ticks.look_at_links();
-            let now = ticks.now();
-            ticks.companies.borrow_mut().values_mut().for_each(|c| drop(c.wake(now)));
-            if n.is_multiple_of(50) && log::log_enabled!(log::Level::Debug) {
-                log::debug!(target: "proxy", "{}", ticks.figures().replace('\n', ", "));
-            }
-            if n.is_multiple_of(5) {
-                ticks.backend(Event::Tick);
-                ticks.pool.tidy(now);
-                ticks.coats.borrow_mut().tick(now);
-            }
+            interval.tick().await;
+            ticks += 1;
+            proxy.tick(ticks);
         }
     });
-    log::info!(target: "proxy", "{} listens at {outbound}", house.told.borrow().node);
-    while signals.next().await == Signalled::Reload {
-        reread(&house, &file);
+}
+
+/// Runs a proxy until SIGTERM.
+pub async fn run(settings: CheckedSettings<Listeners>, signals: Signals) -> ServiceResult {
+    let CheckedSettings { node: settings, file, listeners } = settings;
+    let mut process_events = signals.watch(&file);
+    let grace = settings.bounds.grace;
+    let seeds = settings.seed_peer_addresses();
+    let peer_listener = TcpListener::bind(settings.peer_address()).await?;
+    let proxy = Rc::new(Proxy::new(settings, random_id()));
+    let (close_outbound, outbound_closing) = watch::channel(false);
+    let (close_api, api_closing) = watch::channel(false);
+    let server = |service, is_closing| HttpServer {
+        service,
+        context: proxy.context.clone(),
+        config: proxy.config.clone(),
+        is_closing,
+        open: Rc::default(),
+    };
+    let outbound = server(Service::Outbound(proxy.outbound.clone()), outbound_closing);
+    outbound.listen(TcpListener::bind(listeners.outbound).await?);
+    for address in [listeners.readiness, listeners.control_plane] {
+        let api = server(Service::Api(proxy.api.clone()), api_closing.clone());
+        api.listen(TcpListener::bind(address).await?);
+    }
+    accept_peers(&proxy, peer_listener);
+    seeds.into_iter().for_each(|seed| proxy.control.keep_connected(seed));
+    run_ticks(&proxy);
+    log::info!(target: "proxy", "{} listens at {}", proxy.context.settings().node, listeners.outbound);
+    while process_events.next().await == Event::Reload {
+        proxy.reload_settings(&file);
     }
-    let began = house.now();
-    house.stopping.set(Some(began));
-    log::info!(target: "proxy", "ends on SIGTERM, {} requests in hand", house.in_hand.get());
-    // Clients come for some time yet. Then no more connections are taken, and those that stand idle are closed.
-    let last = began + grace - MARGIN;
-    while house.now() < (began + STILL_SENT).min(last) {
+    shut_down(&proxy, &outbound, &close_outbound, grace).await;
+    // Those who wait for it are gone where this fails.
+    let _ = close_api.send(true);
+    log::info!(target: "proxy", "ended");
+    Ok(())
+}
+
+/// Ends in order, within the grace period.
+async fn shut_down(
+    proxy: &Proxy,
+    outbound: &HttpServer,
+    close_outbound: &watch::Sender<bool>,
+    grace: Micros,
+) {
+    let context = &proxy.context;
+    let started_at = context.now();
+    proxy.api.is_stopping.set(true);
+    log::info!(target: "proxy", "ends on SIGTERM, {} requests in hand", proxy.outbound.in_flight());
+    // Clients come for some time yet. Then no more connections are taken, and idle ones are closed.
+    let last = started_at + grace - GRACE_MARGIN;
+    while context.now() < (started_at + STILL_SENT_TIME).min(last) {
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    let _ = end.send(true);
-    // The backend goes on: others send to it till the end, and are told before that.
-    house.away.set(true);
-    house.tell_station();
-    let told = house.now();
-    while house.now() < (told + TELLING).min(last) {
-        tokio::time::sleep(Duration::from_millis(20)).await;
+    // Those who wait for it are gone where this fails.
+    let _ = close_outbound.send(true);
+    // The backend goes on: others send to it until the end, and are told before that.
+    proxy.backend.set_proxy_leaving();
+    proxy.control.report_endpoint();
+    let noticed_at = context.now();
+    while context.now() < (noticed_at + LEAVE_NOTICE_TIME).min(last) {
+        tokio::time::sleep(EXIT_POLL_INTERVAL).await;
     }
     // Also what others are being sent from the backend here goes to its end.
-    let busy = |h: &House| h.in_hand.get() > 0 || h.door.borrow().in_work() > 0 || h.to_send.get() > 0;
-    while house.now() < last && (*open.borrow() > 0 || busy(&house)) {
-        tokio::time::sleep(Duration::from_millis(20)).await;
+    while context.now() < last && (*outbound.open.borrow() > 0 || proxy.is_busy()) {
+        tokio::time::sleep(EXIT_POLL_INTERVAL).await;
     }
-    // What was written last has to leave.
-    tokio::time::sleep(Duration::from_millis(60)).await;
-    let _ = end_desk.send(true);
-    log::info!(target: "proxy", "ended");
-    Ok(())
+    tokio::time::sleep(FLUSH_TIME).await;
 }
--- /dev/null
+++ b/crates/data-plane/tests/admission.rs
@@ -0,0 +1,88 @@
+//! What may begin at a backend, and in which order.
+use notchspool::units::Micros;
+use notchspool_data_plane::admission::{Admission, AdmissionQueue, Candidate, Decision, QueueTicket};
+
+fn busy_queue(slots: u32) -> AdmissionQueue {
+    let mut queue = AdmissionQueue::new(Micros(1));
+    queue.set_slots(slots);
+    for _ in 0..=slots {
+        let admission = queue.admit(Micros(1), candidate(1, 800, 0));
+        assert_eq!(admission.decision, Decision::Admitted);
+    }
+    queue
+}
+fn candidate(priority: u32, target: i64, now: i64) -> Candidate {
+    let at = |ms: i64| Micros::ms(now + ms);
+    Candidate { priority, kind: target as u32, target_at: at(target), deadline: at(3 * target) }
+}
+fn ticket(admission: Admission) -> QueueTicket {
+    match admission.decision {
+        Decision::Queued(ticket) => ticket,
+        other => panic!("{other:?}"),
+    }
+}
+
+#[test]
+fn priority_goes_first_then_the_nearest_target_then_what_is_late() {
+    let mut queue = busy_queue(2);
+    let now = Micros::ms(1);
+    let order = ticket(queue.admit(now, candidate(1, 800, 1)));
+    let check = ticket(queue.admit(now, candidate(1, 200, 1)));
+    let first = ticket(queue.admit(now, candidate(0, 900, 1)));
+    let ended = |queue: &mut AdmissionQueue| queue.release(now, 800, None);
+    assert_eq!(
+        [ended(&mut queue), ended(&mut queue), ended(&mut queue)],
+        [Some(first), Some(check), Some(order)]
+    );
+}
+
+#[test]
+fn a_full_queue_gives_up_its_last_for_one_that_goes_before() {
+    let mut queue = busy_queue(1);
+    let now = Micros::ms(1);
+    let waits: Vec<u64> = (0..4).map(|_| ticket(queue.admit(now, candidate(2, 800, 1)))).collect();
+    let admission = queue.admit(now, candidate(2, 800, 1));
+    assert!(matches!(admission, Admission { decision: Decision::Rejected(_), displaced: None }));
+    let admission = queue.admit(now, candidate(0, 800, 1));
+    assert!(matches!(admission.decision, Decision::Queued(_)));
+    assert_eq!(admission.displaced, waits.last().copied());
+}
+
+#[test]
+fn who_would_be_late_by_waiting_is_turned_away_at_once() {
+    let (mut queue, now) = (busy_queue(1), Micros::ms(300));
+    queue.release(now, 2_000, Some(now));
+    assert_eq!(queue.admit(now, candidate(1, 2_000, 300)).decision, Decision::Admitted);
+    // Work takes 300 ms, one place at a time: the third would begin after 900 ms, and a few such would miss their target.
+    ticket(queue.admit(now, candidate(1, 2_000, 300)));
+    ticket(queue.admit(now, candidate(1, 2_000, 300)));
+    assert!(matches!(queue.admit(now, candidate(1, 2_000, 300)).decision, Decision::Rejected(_)));
+    // But one of higher priority goes before them.
+    ticket(queue.admit(now, candidate(0, 2_000, 300)));
+}
+
+#[test]
+fn what_is_in_flight_never_passes_the_slots_and_one() {
+    fn holds(steps: Vec<(u8, u8)>) -> bool {
+        let (mut queue, mut inside, mut now) = (AdmissionQueue::new(Micros(1)), 0usize, 1);
+        queue.set_slots(3);
+        for (kind, what) in steps {
+            now += i64::from(what);
+            if kind % 3 > 0 {
+                let admission = queue.admit(Micros::ms(now), candidate(u32::from(what % 3), 200, now));
+                inside += usize::from(admission.decision == Decision::Admitted);
+            } else if inside > 0 {
+                inside -= 1;
+                inside += usize::from(queue.release(Micros::ms(now), 200, Some(Micros::ms(40))).is_some());
+            }
+            if inside > 4 || queue.in_flight() != inside || queue.queued() > 12 {
+                return false;
+            }
+        }
+        true
+    }
+    quickcheck::QuickCheck::new()
+        .rng(quickcheck::Gen::from_size_and_seed(200, 7))
+        .tests(500)
+        .quickcheck(holds as fn(Vec<(u8, u8)>) -> bool);
+}
--- a/crates/data-plane/tests/draw.rs
+++ b/crates/data-plane/tests/service_balancer.rs
@@ -3,13 +3,13 @@
 use std::collections::BTreeMap;
 
 use notchspool::units::{Fate, Micros, TxnRef};
-use notchspool_data_plane::company::{Company, Order};
-use notchspool_data_plane::purse::Purse;
+use notchspool_data_plane::retry_budget::RetryBudget;
+use notchspool_data_plane::service_balancer::{AttemptEnd, BalancerAction, ServiceBalancer};
 use notchspool_endpoint_registry::endpoint_list::{Changes, EndpointList};
 use notchspool_mesh_config::route_config::{Route, RouteKind, WeightedService};
 use notchspool_mesh_protocol::{Endpoint, EndpointState, EndpointUpdate};
 
-fn station(instance: &str, slots: u32, cold_ms: u32, state: EndpointState, calls: u64) -> Endpoint {
+fn endpoint(instance: &str, slots: u32, warmup_ms: u32, state: EndpointState, calls: u64) -> Endpoint {
     Endpoint {
         instance: instance.into(),
         service: "s".into(),
@@ -17,7 +17,7 @@
         zone: "a".into(),
         slots,
         state: state.into(),
-        warmup_ms: cold_ms,
+        warmup_ms,
         call_count: calls,
         ..Endpoint::default()
     }
@@ -38,32 +38,33 @@
 }
 
 struct Caller {
-    company: Company,
+    balancer: ServiceBalancer,
     now: Micros,
     next: u64,
 }
 
 impl Caller {
-    fn with(stations: Vec<Endpoint>) -> Caller {
+    fn with(endpoints: Vec<Endpoint>) -> Caller {
         let now = Micros::ms(10_000);
-        let purse = Purse::open(0.2, 60.0, Micros::ms(10_000), 8, now);
-        let mut company = Company::open("a", Micros::ms(2_000), 7, purse, now);
-        company.listed(now, 1, &Changes { updated: stations, removed: Vec::new() });
-        Caller { company, now, next: 0 }
+        let retry_budget = RetryBudget::new(0.2, 60.0, Micros::ms(10_000), 8, now);
+        let mut balancer = ServiceBalancer::new("a", Micros::ms(2_000), 7, retry_budget, now);
+        balancer.apply_changes(now, 1, &Changes { updated: endpoints, removed: Vec::new() });
+        Caller { balancer, now, next: 0 }
     }
     /// Where so many requests go; each is settled at once, and `busy` says what each door reports, in thousandths.
     fn draws(&mut self, n: usize, busy: &[(&str, u32)]) -> BTreeMap<String, usize> {
         let mut found = BTreeMap::new();
         for _ in 0..n {
             self.next += 1;
-            let txn = TxnRef(self.next);
+            let request = TxnRef(self.next);
             let route = route(RouteKind::Safe);
-            let orders = self.company.take(self.now, txn, &route, self.now + Micros::ms(1_000));
-            let Some(Order::Post(_, to)) = orders.first() else { continue };
-            let name = self.company.station(*to).map_or(String::new(), |s| s.instance.clone());
-            let told = busy.iter().find(|b| b.0 == name).map_or(0, |b| b.1 + 1);
-            self.company.reported(self.now, *to, told);
-            self.company.returned(self.now, txn, 0, Fate::Settled, Micros::ms(20), true);
+            let actions = self.balancer.begin(self.now, request, &route, self.now + Micros::ms(1_000));
+            let Some(BalancerAction::Send(_, to)) = actions.first() else { continue };
+            let name = self.balancer.endpoint(*to).map_or(String::new(), |s| s.instance.clone());
+            let utilisation = busy.iter().find(|b| b.0 == name).map_or(0, |b| b.1 + 1);
+            self.balancer.on_load_report(self.now, *to, utilisation);
+            let end = AttemptEnd { attempt: 0, fate: Fate::Settled, took: Micros::ms(20), is_final: true };
+            self.balancer.on_attempt_end(self.now, request, end);
             *found.entry(name).or_insert(0) += 1;
         }
         found
@@ -71,7 +72,7 @@
 }
 
 fn ready(instance: &str) -> Endpoint {
-    station(instance, 6, 0, EndpointState::Ready, 1)
+    endpoint(instance, 6, 0, EndpointState::Ready, 1)
 }
 
 #[test]
@@ -89,8 +90,8 @@
 #[test]
 fn without_reports_weights_follow_the_slots() {
     let mut caller = Caller::with(vec![
-        station("a", 2, 0, EndpointState::Ready, 1),
-        station("b", 6, 0, EndpointState::Ready, 1),
+        endpoint("a", 2, 0, EndpointState::Ready, 1),
+        endpoint("b", 6, 0, EndpointState::Ready, 1),
     ]);
     let found = caller.draws(4_000, &[]);
     assert!((found["b"] as f64 / 4_000.0 - 0.75).abs() < 0.04, "{found:?}");
@@ -108,7 +109,7 @@
 
 #[test]
 fn a_newcomer_is_capped_at_the_mean_and_rises() {
-    let cold = station("c", 6, 3_500, EndpointState::Ready, 1);
+    let cold = endpoint("c", 6, 3_500, EndpointState::Ready, 1);
     let mut caller = Caller::with(vec![ready("a"), ready("b"), cold]);
     let busy = [("a", 900), ("b", 900), ("c", 0)];
     caller.draws(300, &busy);
@@ -127,11 +128,11 @@
 fn who_drains_or_is_away_gets_nothing_while_another_stands() {
     let mut caller = Caller::with(vec![ready("a"), ready("b"), ready("c")]);
     let gone =
-        vec![station("b", 6, 0, EndpointState::Draining, 2), station("c", 6, 0, EndpointState::Away, 2)];
-    caller.company.listed(caller.now, 2, &Changes { updated: gone, removed: Vec::new() });
+        vec![endpoint("b", 6, 0, EndpointState::Draining, 2), endpoint("c", 6, 0, EndpointState::Away, 2)];
+    caller.balancer.apply_changes(caller.now, 2, &Changes { updated: gone, removed: Vec::new() });
     assert_eq!(caller.draws(200, &[]).keys().collect::<Vec<_>>(), ["a"]);
-    let back = vec![station("c", 6, 0, EndpointState::Ready, 3)];
-    caller.company.listed(caller.now, 3, &Changes { updated: back, removed: Vec::new() });
+    let back = vec![endpoint("c", 6, 0, EndpointState::Ready, 3)];
+    caller.balancer.apply_changes(caller.now, 3, &Changes { updated: back, removed: Vec::new() });
     assert_eq!(caller.draws(200, &[]).keys().collect::<Vec<_>>(), ["a", "c"]);
 }
 
@@ -139,9 +140,13 @@
 fn an_address_taken_over_by_another_instance_is_another_backend() {
     let mut caller = Caller::with(vec![ready("a"), ready("b")]);
     for n in 0..50 {
-        let left = station(&format!("x{}", n), 6, 0, EndpointState::Left, 9);
+        let left = endpoint(&format!("x{}", n), 6, 0, EndpointState::Left, 9);
         let next = ready(&format!("x{}", n + 1));
-        caller.company.listed(caller.now, 2 + n, &Changes { updated: vec![left, next], removed: Vec::new() });
+        caller.balancer.apply_changes(
+            caller.now,
+            2 + n,
+            &Changes { updated: vec![left, next], removed: Vec::new() },
+        );
         let found = caller.draws(60, &[]);
         assert_eq!(
             found.keys().cloned().collect::<Vec<_>>(),
@@ -151,22 +156,19 @@
 }
 
 #[test]
-fn an_older_list_changes_nothing_and_an_older_word_on_one_neither() {
+fn an_older_list_changes_nothing_and_an_older_report_on_one_neither() {
     let mut list = EndpointList::default();
-    let bill = |version, whole, stations| EndpointUpdate {
-        version,
-        complete: whole,
-        endpoints: stations,
-        numbered_by: 1,
-    };
-    let take =
-        list.apply(bill(5, true, vec![ready("a"), station("b", 6, 0, EndpointState::Draining, 7)])).unwrap();
+    let update =
+        |version, complete, endpoints| EndpointUpdate { version, complete, endpoints, numbered_by: 1 };
+    let take = list
+        .apply(update(5, true, vec![ready("a"), endpoint("b", 6, 0, EndpointState::Draining, 7)]))
+        .unwrap();
     assert_eq!(take.updated.len(), 2);
-    assert_eq!(list.apply(bill(4, true, vec![])), None);
+    assert_eq!(list.apply(update(4, true, vec![])), None);
     // Another replica, a later number, but what it says of b is older.
-    let take = list.apply(bill(6, false, vec![station("b", 6, 0, EndpointState::Ready, 3)])).unwrap();
+    let take = list.apply(update(6, false, vec![endpoint("b", 6, 0, EndpointState::Ready, 3)])).unwrap();
     assert_eq!((take.updated.len(), list.get("b").map(Endpoint::state)), (0, Some(EndpointState::Draining)));
-    let take = list.apply(bill(7, true, vec![ready("a")])).unwrap();
+    let take = list.apply(update(7, true, vec![ready("a")])).unwrap();
     assert_eq!(
         take.removed.iter().map(|s| (s.instance.as_str(), s.state())).collect::<Vec<_>>(),
         [("b", EndpointState::Missing)]
--- a/crates/data-plane/tests/wire.rs
+++ b/crates/data-plane/tests/wire.rs
@@ -8,7 +8,7 @@
 
 use bytes::{Bytes, BytesMut};
 use notchspool::units::Micros;
-use notchspool_data_plane::house::House;
+use notchspool_data_plane::proxy::Proxy;
 use notchspool_mesh_protocol::{
     BodyChunk, Cancel, ClaimReply, Member, Payload, Request, Response, Verdict, VoterSet, Welcome, decode,
     encode,
@@ -18,14 +18,14 @@
 
 const BOUND: Duration = Duration::from_secs(20);
 
-fn house(app: SocketAddr) -> Rc<House> {
+fn proxy(app: SocketAddr) -> Rc<Proxy> {
     let text = format!(
         r#"{{"node":"n","zone":"a","ipAddress":"127.0.0.1","portRange":[7620,7635],"listenAddresses":{{"inbound":"127.0.0.1:1",
         "outbound":"127.0.0.1:2","readiness":"127.0.0.1:3","controlPlane":"127.0.0.1:4"}},"seedNodes":["127.0.0.1:4"],"firstStart":true,
         "dataPath":null,"beatIntervalS":1.5,"bounds":["drainS=2","graceS=6","keyWindowS=60","retryRatio=0.2","retryWindowS=10",
         "retrySlack=60"],"limits":{{"memoryMb":64}},"appAddress":"{app}","service":"s"}}"#
     );
-    House::open(NodeSettings::parse(Path::new("x"), text.as_bytes()).unwrap(), 7)
+    Rc::new(Proxy::new(NodeSettings::parse(Path::new("x"), text.as_bytes()).unwrap(), 7))
 }
 
 fn plays<F: Future<Output = ()>>(run: F) {
@@ -87,8 +87,9 @@
 const SEAL: &str = "notchspool-server-seal: z\r\n";
 const NOT_RUN: &str = "notchspool-not-run: 1\r\n";
 
-async fn play(house: &Rc<House>, ask: Request) -> Verdict {
-    house.play(&ask, house.now() + Micros::ms(15_000)).await.said.verdict()
+async fn send(proxy: &Rc<Proxy>, request: Request) -> Verdict {
+    let deadline = proxy.context.now() + Micros::ms(15_000);
+    proxy.client.send(&request, deadline).await.response.verdict()
 }
 
 #[test]
@@ -109,13 +110,13 @@
 }
 
 #[test]
-fn an_answer_that_comes_before_the_body_is_sent_is_heard_at_once() {
+fn an_answer_that_comes_before_the_body_is_sent_is_read_at_once() {
     plays(async {
         let (at, _) = backend(vec![vec![answer(503, "a", NOT_RUN)]], false);
-        let house = house(at);
-        let began = house.now();
-        assert_eq!(play(&house, ask("a", 32 << 20)).await, Verdict::NotRun);
-        assert!(house.now() - began < Micros::ms(10_000), "it was held up till the end of its time");
+        let proxy = proxy(at);
+        let began = proxy.context.now();
+        assert_eq!(send(&proxy, ask("a", 32 << 20)).await, Verdict::NotRun);
+        assert!(proxy.context.now() - began < Micros::ms(10_000), "it was held up till the end of its time");
     });
 }
 
@@ -125,9 +126,9 @@
         let stray = answer(200, "z", SEAL) + &answer(200, "a", SEAL);
         let (at, taken) =
             backend(vec![vec![stray, answer(200, "b", SEAL)], vec![answer(200, "b", SEAL)]], false);
-        let house = house(at);
-        assert_eq!(play(&house, ask("a", 0)).await, Verdict::Answered);
-        assert_eq!(play(&house, ask("b", 0)).await, Verdict::Answered);
+        let proxy = proxy(at);
+        assert_eq!(send(&proxy, ask("a", 0)).await, Verdict::Answered);
+        assert_eq!(send(&proxy, ask("b", 0)).await, Verdict::Answered);
         assert_eq!(taken.iter().take(2).count(), 2);
     });
 }
@@ -136,9 +137,9 @@
 fn a_connection_whose_answers_were_its_own_is_used_again() {
     plays(async {
         let (at, taken) = backend(vec![vec![answer(200, "a", SEAL), answer(200, "b", SEAL)]], false);
-        let house = house(at);
-        assert_eq!(play(&house, ask("a", 0)).await, Verdict::Answered);
-        assert_eq!(play(&house, ask("b", 0)).await, Verdict::Answered);
+        let proxy = proxy(at);
+        assert_eq!(send(&proxy, ask("a", 0)).await, Verdict::Answered);
+        assert_eq!(send(&proxy, ask("b", 0)).await, Verdict::Answered);
         assert!(taken.try_recv().is_ok() && taken.try_recv().is_err());
     });
 }
@@ -147,11 +148,11 @@
 fn a_refusal_without_an_id_is_believed_on_a_new_connection_only() {
     plays(async {
         let (at, _) = backend(vec![vec![answer(503, "", NOT_RUN)]], true);
-        assert_eq!(play(&house(at), ask("a", 0)).await, Verdict::NotRun);
+        assert_eq!(send(&proxy(at), ask("a", 0)).await, Verdict::NotRun);
         let (at, _) = backend(vec![vec![answer(200, "a", SEAL), answer(503, "", NOT_RUN)]], true);
-        let house = house(at);
-        assert_eq!(play(&house, ask("a", 0)).await, Verdict::Answered);
-        assert_eq!(play(&house, ask("b", 0)).await, Verdict::MayHaveRun);
+        let proxy = proxy(at);
+        assert_eq!(send(&proxy, ask("a", 0)).await, Verdict::Answered);
+        assert_eq!(send(&proxy, ask("b", 0)).await, Verdict::MayHaveRun);
     });
 }
 
@@ -160,7 +161,7 @@
     plays(async {
         for status in [503, 429, 408] {
             let (at, _) = backend(vec![vec![answer(status, "a", "")]], true);
-            assert_eq!(play(&house(at), ask("a", 0)).await, Verdict::MayHaveRun, "{status}");
+            assert_eq!(send(&proxy(at), ask("a", 0)).await, Verdict::MayHaveRun, "{status}");
         }
     });
 }
@@ -194,7 +195,7 @@
         encode(what, &mut out);
         self.stream.write_all(&out).unwrap();
     }
-    fn asked(&mut self) -> u64 {
+    fn requested(&mut self) -> u64 {
         loop {
             if let Payload::Request(ask) = self.next().unwrap() {
                 return ask.id;
@@ -203,7 +204,7 @@
     }
 }
 
-fn proxy(then: impl FnOnce(Other) + Send + 'static) -> (String, std::thread::JoinHandle<()>) {
+fn peer(then: impl FnOnce(Other) + Send + 'static) -> (String, std::thread::JoinHandle<()>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap().to_string();
     (at, std::thread::spawn(move || then(Other::of(listener.accept().unwrap().0))))
@@ -216,14 +217,14 @@
 #[test]
 fn an_answer_to_no_question_ends_the_link_and_is_given_to_nobody() {
     plays(async {
-        let (at, hand) = proxy(|mut other| {
-            let id = other.asked();
+        let (at, hand) = peer(|mut other| {
+            let id = other.requested();
             other.say(Payload::Response(Response { id: id + 1, status: 200, ..Response::default() }));
             while other.next().is_some() {}
         });
-        let house = house(nowhere());
-        let told = house.ask(&at, Request { id: house.number(), ..ask("a", 0) }).await;
-        assert_eq!((told.said.verdict(), told.said.status), (Verdict::MayHaveRun, 0));
+        let proxy = proxy(nowhere());
+        let response = proxy.peers.send(&at, Request { id: proxy.context.next_id(), ..ask("a", 0) }).await;
+        assert_eq!((response.response.verdict(), response.response.status), (Verdict::MayHaveRun, 0));
         tokio::task::spawn_blocking(move || hand.join().unwrap()).await.unwrap();
     });
 }
@@ -231,8 +232,8 @@
 #[test]
 fn the_rest_of_an_answer_is_given_up_as_soon_as_nobody_wants_it() {
     plays(async {
-        let (at, hand) = proxy(|mut other| {
-            let id = other.asked();
+        let (at, hand) = peer(|mut other| {
+            let id = other.requested();
             let verdict = Verdict::Answered.into();
             other.say(Payload::Response(Response {
                 id,
@@ -249,10 +250,10 @@
             // No more is sent before some is taken, and nobody takes any.
             while other.next().expect("it was not given up") != Payload::Cancel(Cancel { id }) {}
         });
-        let house = house(nowhere());
-        let told = house.ask(&at, Request { id: house.number(), ..ask("a", 0) }).await;
-        assert!(told.pipe.is_some());
-        drop(told);
+        let proxy = proxy(nowhere());
+        let response = proxy.peers.send(&at, Request { id: proxy.context.next_id(), ..ask("a", 0) }).await;
+        assert!(response.rest.is_some());
+        drop(response);
         tokio::task::spawn_blocking(move || hand.join().unwrap()).await.unwrap();
     });
 }
@@ -269,9 +270,9 @@
             other.say(Payload::Request(Request { id: 5, time_left_ms: 1_000, ..ask("a", 0) }));
             assert!(other.next().is_none(), "the same id was answered again");
         });
-        let house = house(nowhere());
+        let proxy = proxy(nowhere());
         let (stream, _) = listener.accept().await.unwrap();
-        house.carry(stream).await;
+        proxy.peers.clone().carry_incoming(stream).await;
         tokio::task::spawn_blocking(move || hand.join().unwrap()).await.unwrap();
     });
 }
@@ -311,14 +312,17 @@
                 }
             });
         }
-        let house = house(nowhere());
-        house.call(voters[0].clone());
-        while house.voters.reached() != (2, 2) {
+        let proxy = proxy(nowhere());
+        proxy.control.keep_connected(voters[0].clone());
+        while {
+            let reach = proxy.api.replicas.reach();
+            (reach.reached, reach.voters) != (2, 2)
+        } {
             tokio::task::yield_now().await;
         }
         let ticket = notchspool_mesh_protocol::Ticket { boot_id: 7, number: 1, attempt: 0 };
         assert_eq!(
-            house.claim("k", ticket).await,
+            proxy.claims.claim("k", ticket).await,
             notchspool_idempotency::claim_proposal::Outcome::Undecided
         );
     });
--- a/crates/fleet-controller/src/disk.rs
+++ b/crates/fleet-controller/src/disk.rs
@@ -218,11 +218,7 @@
     }
     fn some() -> (Space, Ballot, Entry) {
         let ballot = Ballot { token: Token(3), round: 1, by: ContenderId(u64::MAX) };
-        (
-            Space::State("orders".into()),
-            ballot,
-            Entry { ballot: ballot, sequence: 9, value: "{\"a\": 1}".into() },
-        )
+        (Space::State("orders".into()), ballot, Entry { ballot, sequence: 9, value: "{\"a\": 1}".into() })
     }
 
     #[test]
--- a/crates/idempotency/tests/claim_table.rs
+++ b/crates/idempotency/tests/claim_table.rs
@@ -4,7 +4,7 @@
 use notchspool_mesh_protocol::{Claim, Ticket};
 
 fn claim(key: &str, boot_id: u64, turn: u32) -> Claim {
-    let ticket = Some(Ticket { boot_id: boot_id, number: 1, attempt: turn });
+    let ticket = Some(Ticket { boot_id, number: 1, attempt: turn });
     Claim {
         key: key.into(),
         ticket,
--- a/crates/lab/src/mesh/player.rs
+++ b/crates/lab/src/mesh/player.rs
@@ -536,7 +536,7 @@
                 let (before, version) = (proxy.playbill.version(), bill.version);
                 proxy.line = bill.numbered_by;
                 if let Some(changes) = proxy.playbill.apply(bill) {
-                    proxy.company.listed(now, version, &changes);
+                    proxy.balancer.apply_changes(now, version, &changes);
                 }
                 if proxy.playbill.version() < before {
                     self.wrong.push(format!("{now:?}: the list of a proxy went back from {before}"));
@@ -1165,7 +1165,7 @@
         if (now.0 / 1_000) % 100 == 0 {
             let proxy = &mut self.proxies[at];
             told.extend(proxy.event(now, Call::Tick));
-            drop(proxy.company.wake(now));
+            drop(proxy.balancer.tick(now));
             proxy.coats.tick(now);
             self.follow(at);
         }
--- a/crates/lab/src/mesh/proxy.rs
+++ b/crates/lab/src/mesh/proxy.rs
@@ -2,8 +2,8 @@
 use std::collections::BTreeMap;
 
 use notchspool::units::Micros;
-use notchspool_data_plane::company::{Company, Order};
-use notchspool_data_plane::purse::Purse;
+use notchspool_data_plane::retry_budget::RetryBudget;
+use notchspool_data_plane::service_balancer::{AttemptEnd, BalancerAction, ServiceBalancer};
 use notchspool_endpoint_registry::endpoint_list::EndpointList;
 use notchspool_endpoint_registry::heartbeats::{Event, Heartbeat, HeartbeatTracker};
 use notchspool_idempotency::claim_proposal::{ClaimProposal, Outcome as ClaimOutcome};
@@ -36,7 +36,7 @@
     pub backend: Option<(String, bool, u64)>,
     pub beat_at: Micros,
     pub playbill: EndpointList,
-    pub company: Company,
+    pub balancer: ServiceBalancer,
     pub coats: ResponseCache<u64>,
     pub hands: BTreeMap<u64, Hand>,
     /// Who votes, and the number of that set.
@@ -58,7 +58,7 @@
 
 impl Proxy {
     pub fn new(name: &str, address: String, life: u64, now: Micros) -> Proxy {
-        let purse = Purse::open(0.2, 60.0, Micros::ms(10_000), 8, now);
+        let retry_budget = RetryBudget::new(0.2, 60.0, Micros::ms(10_000), 8, now);
         Proxy {
             name: name.into(),
             address,
@@ -72,7 +72,7 @@
             backend: None,
             beat_at: now,
             playbill: EndpointList::default(),
-            company: Company::open("a", Micros::ms(2_000), life, purse, now),
+            balancer: ServiceBalancer::new("a", Micros::ms(2_000), life, retry_budget, now),
             coats: ResponseCache::new(WINDOW, 1 << 20),
             hands: BTreeMap::new(),
             set: 0,
@@ -154,11 +154,14 @@
         for _ in 0..100 {
             self.next += 1;
             let txn = notchspool::units::TxnRef(self.next);
-            let orders = self.company.take(now, txn, &route, now + Micros::ms(1_000));
-            if let Some(Order::Post(_, to)) = orders.iter().find(|o| matches!(o, Order::Post(..))) {
-                found.insert(self.company.station(*to).map_or(String::new(), |s| s.instance.clone()));
+            let orders = self.balancer.begin(now, txn, &route, now + Micros::ms(1_000));
+            if let Some(BalancerAction::Send(_, to)) =
+                orders.iter().find(|o| matches!(o, BalancerAction::Send(..)))
+            {
+                found.insert(self.balancer.endpoint(*to).map_or(String::new(), |s| s.instance.clone()));
                 let fate = notchspool::units::Fate::Settled;
-                self.company.returned(now, txn, 0, fate, Micros::ms(20), true);
+                let end = AttemptEnd { attempt: 0, fate, took: Micros::ms(20), is_final: true };
+                self.balancer.on_attempt_end(now, txn, end);
             }
         }
         found.into_iter().collect()
--- a/crates/lab/src/mesh/traffic/backend.rs
+++ b/crates/lab/src/mesh/traffic/backend.rs
@@ -2,7 +2,7 @@
 use std::collections::BTreeMap;
 
 use notchspool::units::Micros;
-use notchspool_data_plane::connection::{Head, Id};
+use notchspool_data_plane::backend_connection::{AnswerHead, AnswerId};
 
 use super::judge::Run;
 use super::world::{Load, World};
@@ -69,7 +69,7 @@
 /// An answer: its head, and how much of its body comes.
 #[derive(Clone, Debug)]
 pub struct Reply {
-    pub head: Head,
+    pub head: AnswerHead,
     pub id: String,
     pub seal: String,
     pub bytes: u64,
@@ -227,9 +227,9 @@
                 let span = if mood == Mood::Late { Micros::ms(2_500) } else { work };
                 let done = now + Micros(self.below(span.0 as u64) as i64) + Micros(span.0 / 4);
                 let id = serving.attempt.clone();
-                let head = Head {
+                let head = AnswerHead {
                     status: 200,
-                    id: Id::One(id.clone()),
+                    id: AnswerId::One(id.clone()),
                     sealed: true,
                     not_run: false,
                     encoded: false,
@@ -243,16 +243,18 @@
     }
 
     fn says(&mut self, mood: Mood, done: Micros, reply: Reply) -> Vec<(Micros, Option<Reply>)> {
-        let with =
-            |status: u16, id: Id| Reply { head: Head { status, id, ..reply.head.clone() }, ..reply.clone() };
+        let with = |status: u16, id: AnswerId| Reply {
+            head: AnswerHead { status, id, ..reply.head.clone() },
+            ..reply.clone()
+        };
         let own = reply.head.id.clone();
         let after = done + Micros(self.below(300_000) as i64);
         match mood {
             Mood::Silent => Vec::new(),
             Mood::Resets => vec![(done, None)],
             Mood::Partly => vec![(done, Some(Reply { whole: false, ..reply }))],
-            Mood::Garbled => vec![(done, Some(with(200, Id::Garbled)))],
-            Mood::NoId => vec![(done, Some(with(200, Id::Missing)))],
+            Mood::Garbled => vec![(done, Some(with(200, AnswerId::Ambiguous)))],
+            Mood::NoId => vec![(done, Some(with(200, AnswerId::Missing)))],
             Mood::Promises => vec![(done, Some(with(503, own)))],
             Mood::Fails => vec![(done, Some(with(500, own)))],
             Mood::Twice => vec![(done, Some(reply.clone())), (after, Some(reply))],
@@ -263,9 +265,9 @@
 }
 
 fn refusal(id: &str, status: u16, keep: bool) -> Reply {
-    let head = Head {
+    let head = AnswerHead {
         status,
-        id: if id.is_empty() { Id::Missing } else { Id::One(id.into()) },
+        id: if id.is_empty() { AnswerId::Missing } else { AnswerId::One(id.into()) },
         sealed: false,
         not_run: status != 421,
         encoded: false,
--- a/crates/lab/src/mesh/traffic/door.rs
+++ b/crates/lab/src/mesh/traffic/door.rs
@@ -3,12 +3,12 @@
 
 use bytes::Bytes;
 use notchspool::units::Micros;
-use notchspool_data_plane::connection::{Connection, Event, Step, Word};
-use notchspool_data_plane::door::{Admit, Comer, Door};
-use notchspool_data_plane::exchange::{Answering, Asked, Does};
-use notchspool_data_plane::link::only;
-use notchspool_data_plane::operation::{self, Kept};
-use notchspool_data_plane::standstill::{self, Standstill};
+use notchspool_data_plane::admission::{Admission, AdmissionQueue, Candidate, Decision};
+use notchspool_data_plane::backend_connection::{Action, AnswerId, BackendConnection, BackendVerdict, Event};
+use notchspool_data_plane::keyed_operation::{self, Operations};
+use notchspool_data_plane::peer_exchange::{IncomingAction, IncomingEvent, IncomingExchanges};
+use notchspool_data_plane::peer_link::without_answer;
+use notchspool_data_plane::stall_detector::{self, StallDetector};
 use notchspool_idempotency::claim_proposal::{ClaimProposal, Outcome as Claimed};
 use notchspool_idempotency::response_cache::ResponseCache;
 use notchspool_mesh_protocol::{
@@ -73,19 +73,19 @@
     pub up: bool,
     pub frozen: bool,
     number: u64,
-    pub still: Standstill,
+    pub still: StallDetector,
     pub knows: String,
-    coats: Kept,
-    door: Door,
+    coats: Operations,
+    door: AdmissionQueue,
     waiting: BTreeMap<u64, u64>,
     works: BTreeMap<u64, Work>,
     /// Connections to the backend, and what is open on them.
-    conns: BTreeMap<u64, (Connection, Option<u64>)>,
+    conns: BTreeMap<u64, (BackendConnection, Option<u64>)>,
     pub voters: [Option<u64>; 3],
     hands: BTreeMap<u64, Hand>,
     pub links: BTreeMap<usize, u64>,
     pub askers: BTreeMap<u64, Asker>,
-    carried: BTreeMap<u64, Answering<u64>>,
+    carried: BTreeMap<u64, IncomingExchanges<u64>>,
     pub requests: BTreeMap<String, Request>,
     pub inbox: Vec<String>,
     pub leavers: Vec<String>,
@@ -95,15 +95,15 @@
 
 impl Proxy {
     pub fn new(at: usize, life: u64, now: Micros, window: Micros) -> Proxy {
-        let mut door = Door::open(now);
-        door.slots(3);
+        let mut door = AdmissionQueue::new(now);
+        door.set_slots(3);
         Proxy {
             at,
             life,
             up: true,
             frozen: false,
             number: 0,
-            still: Standstill::open(now),
+            still: StallDetector::new(now),
             knows: format!("i-{at}"),
             coats: ResponseCache::new(window + Micros::ms(2_000), 1 << 20),
             door,
@@ -135,8 +135,8 @@
     /// What should not be left once all is answered.
     pub fn left(&self) -> Option<String> {
         let sizes = [self.works.len(), self.waiting.len(), self.hands.len(), self.requests.len()];
-        (sizes != [0; 4] || self.door.in_work() > 0)
-            .then(|| format!("{sizes:?} works, waiting, claims, requests, {} in work", self.door.in_work()))
+        (sizes != [0; 4] || self.door.in_flight() > 0)
+            .then(|| format!("{sizes:?} works, waiting, claims, requests, {} in work", self.door.in_flight()))
     }
 }
 
@@ -178,7 +178,8 @@
             Load::Cue(what) => self.carries(at, wire, *what),
             _ => {
                 let work = self.proxies[at].carried.remove(&wire);
-                if let Some(Does::AbortAll(all)) = work.map(|mut w| w.turn(Asked::Ends)) {
+                if let Some(IncomingAction::AbortAll(all)) = work.map(|mut w| w.apply(IncomingEvent::Closed))
+                {
                     all.into_iter().for_each(|work| self.abort(at, work));
                 }
                 self.close(wire, 1, true);
@@ -192,22 +193,22 @@
         match what {
             Payload::Request(ask) => {
                 let id = ask.id;
-                match self.proxies[at].carried.entry(wire).or_default().turn(Asked::Ask(id)) {
-                    Does::Begin => {}
-                    Does::Full => return,
+                match self.proxies[at].carried.entry(wire).or_default().apply(IncomingEvent::Request(id)) {
+                    IncomingAction::Start => {}
+                    IncomingAction::Reject => return,
                     _ => return self.close(wire, 1, true),
                 }
-                let age = self.proxies[at].still.runs(now);
+                let age = self.proxies[at].still.observe(now);
                 let ages = self.is(Breach::Ages);
                 let ask = PeerRequest { age_ms: if ages { 0 } else { ask.age_ms }, ..ask };
-                let ask = if ages { ask } else { standstill::older(ask, age) };
+                let ask = if ages { ask } else { stall_detector::aged(ask, age) };
                 let work = self.proxies[at].number();
-                self.proxies[at].carried.entry(wire).or_default().turn(Asked::Began(id, work));
+                self.proxies[at].carried.entry(wire).or_default().apply(IncomingEvent::Started(id, work));
                 self.perform(at, work, From::Wire(wire, id), ask);
             }
             Payload::Cancel(Cancel { id }) => {
-                let does = self.proxies[at].carried.entry(wire).or_default().turn(Asked::Cancel(id));
-                if let Does::Abort(work) = does {
+                let does = self.proxies[at].carried.entry(wire).or_default().apply(IncomingEvent::Cancel(id));
+                if let IncomingAction::Abort(work) = does {
                     self.abort(at, work);
                 }
             }
@@ -222,9 +223,9 @@
 
     pub(super) fn held(&self, at: usize, key: &str, life: u64) -> PeerResponse {
         if life != self.proxies[at].life {
-            return only(0, Verdict::ResponseLost, "the process that held it has ended");
+            return without_answer(0, Verdict::ResponseLost, "the process that held it has ended");
         }
-        operation::known(&self.proxies[at].coats, key)
+        keyed_operation::known_response(&self.proxies[at].coats, key)
     }
 
     // ---- From its arrival to its end --------------------------------------------------------------------
@@ -236,14 +237,14 @@
         let work = Work { from, ask, until, claim: None, stage: Stage::Waiting(0) };
         self.proxies[at].works.insert(number, work);
         if until - now <= MARGIN {
-            return self.ends(at, number, only(0, Verdict::NotRun, "its time is over"));
+            return self.ends(at, number, without_answer(0, Verdict::NotRun, "its time is over"));
         }
         if let Some(said) = self.astray(at, number) {
             return self.ends(at, number, said);
         }
         let Some(ticket) = ticket.filter(|_| !key.is_empty()) else { return self.enter(at, number) };
-        match operation::arrives(&mut self.proxies[at].coats, now, &key, age) {
-            operation::Step::Claim => {
+        match keyed_operation::on_arrival(&mut self.proxies[at].coats, now, &key, age) {
+            keyed_operation::Decision::Claim => {
                 if let Some(work) = self.proxies[at].works.get_mut(&number) {
                     work.claim = Some(now);
                 }
@@ -256,18 +257,22 @@
                 }
                 self.verdicts(at, now);
             }
-            operation::Step::Known(said) => self.ends(at, number, said),
-            operation::Step::No { why, ends, .. } => {
-                self.ends(at, number, PeerResponse { final_refusal: ends, ..only(0, Verdict::NotRun, why) });
+            keyed_operation::Decision::Known(said) => self.ends(at, number, said),
+            keyed_operation::Decision::Refuse { reason, is_final, .. } => {
+                self.ends(
+                    at,
+                    number,
+                    PeerResponse { final_refusal: is_final, ..without_answer(0, Verdict::NotRun, reason) },
+                );
             }
-            _ => self.ends(at, number, only(0, Verdict::NotRun, "it is not claimed")),
+            _ => self.ends(at, number, without_answer(0, Verdict::NotRun, "it is not claimed")),
         }
     }
 
     fn astray(&self, at: usize, number: u64) -> Option<PeerResponse> {
         let proxy = &self.proxies[at];
         let meant = &proxy.works.get(&number)?.ask.instance;
-        (*meant != proxy.knows).then(|| only(0, Verdict::WrongInstance, "another backend is here"))
+        (*meant != proxy.knows).then(|| without_answer(0, Verdict::OtherInstance, "another backend is here"))
     }
 
     pub(super) fn claim(&mut self, at: usize, key: &str, ticket: Ticket, purpose: Purpose) -> u64 {
@@ -314,16 +319,20 @@
     fn claimed(&mut self, at: usize, number: u64, verdict: Claimed) {
         let Some(work) = self.proxies[at].works.get(&number) else { return };
         let ticket = work.ask.ticket.unwrap_or_default();
-        match operation::claimed(ticket, verdict) {
-            operation::Step::Enter => self.enter(at, number),
-            operation::Step::Held { holder, holder_boot_id } => {
-                let said = only(0, Verdict::HeldElsewhere, "another has the key");
-                self.ends(at, number, PeerResponse { holder, holder_boot_id: holder_boot_id, ..said });
+        match keyed_operation::on_claim_outcome(ticket, verdict) {
+            keyed_operation::Decision::Proceed => self.enter(at, number),
+            keyed_operation::Decision::HeldElsewhere { holder, holder_boot_id } => {
+                let said = without_answer(0, Verdict::HeldElsewhere, "another has the key");
+                self.ends(at, number, PeerResponse { holder, holder_boot_id, ..said });
             }
-            operation::Step::No { why, ends, .. } => {
-                self.ends(at, number, PeerResponse { final_refusal: ends, ..only(0, Verdict::NotRun, why) });
+            keyed_operation::Decision::Refuse { reason, is_final, .. } => {
+                self.ends(
+                    at,
+                    number,
+                    PeerResponse { final_refusal: is_final, ..without_answer(0, Verdict::NotRun, reason) },
+                );
             }
-            _ => self.ends(at, number, only(0, Verdict::NotRun, "it is not claimed")),
+            _ => self.ends(at, number, without_answer(0, Verdict::NotRun, "it is not claimed")),
         }
     }
 
@@ -332,35 +341,36 @@
         let proxy = &mut self.proxies[at];
         let Some(work) = proxy.works.get(&number) else { return };
         let aim = now + Micros::ms(i64::from(work.ask.target_left_ms));
-        let comer = Comer { rank: 1, kind: work.ask.latency_target_ms, aim, until: work.until };
-        let (admit, out) = proxy.door.admit(now, comer);
-        if let Some(out) = out.and_then(|out| self.proxies[at].waiting.remove(&out)) {
-            self.ends(at, out, only(0, Verdict::NotRun, "full"));
-        }
-        match admit {
-            Admit::Now => self.begin(at, number),
-            Admit::Wait(place) => {
+        let candidate =
+            Candidate { priority: 1, kind: work.ask.latency_target_ms, target_at: aim, deadline: work.until };
+        let Admission { decision, displaced } = proxy.door.admit(now, candidate);
+        if let Some(out) = displaced.and_then(|out| self.proxies[at].waiting.remove(&out)) {
+            self.ends(at, out, without_answer(0, Verdict::NotRun, "full"));
+        }
+        match decision {
+            Decision::Admitted => self.begin(at, number),
+            Decision::Queued(place) => {
                 self.proxies[at].waiting.insert(place, number);
                 if let Some(work) = self.proxies[at].works.get_mut(&number) {
                     work.stage = Stage::Waiting(place);
                 }
             }
-            Admit::No(_) => self.ends(at, number, only(0, Verdict::NotRun, "full")),
+            Decision::Rejected(_) => self.ends(at, number, without_answer(0, Verdict::NotRun, "full")),
         }
     }
 
     /// A place at the backend is free again.
     fn done(&mut self, at: usize) {
         let now = self.now;
-        let mut next = self.proxies[at].door.done(now, 0, None);
+        let mut next = self.proxies[at].door.release(now, 0, None);
         while let Some(place) = next {
             let called = self.proxies[at].waiting.remove(&place);
             next = match called {
                 Some(number) => {
                     self.begin(at, number);
-                    self.proxies[at].door.next_one(now)
+                    self.proxies[at].door.admit_next(now)
                 }
-                None => self.proxies[at].door.done(now, 0, None),
+                None => self.proxies[at].door.release(now, 0, None),
             };
         }
     }
@@ -370,18 +380,20 @@
         let (now, window) = (self.now, self.window);
         let no = match self.proxies[at].works.get(&number) {
             None => return self.done(at),
-            Some(work) if work.until - now <= MARGIN => Some(only(0, Verdict::NotRun, "its time is over")),
+            Some(work) if work.until - now <= MARGIN => {
+                Some(without_answer(0, Verdict::NotRun, "its time is over"))
+            }
             Some(_) => self.astray(at, number),
         };
         let proxy = &mut self.proxies[at];
         let Some(work) = proxy.works.get_mut(&number) else { return };
         let granted = match work.claim {
             Some(since) if no.is_none() => {
-                operation::begins(&mut proxy.coats, now, &work.ask.key, since, window)
+                keyed_operation::begin(&mut proxy.coats, now, &work.ask.key, since, window)
             }
             _ => true,
         };
-        if let Some(said) = no.or((!granted).then(|| only(0, Verdict::NotRun, "the key is gone"))) {
+        if let Some(said) = no.or((!granted).then(|| without_answer(0, Verdict::NotRun, "the key is gone"))) {
             self.ends(at, number, said);
             return self.done(at);
         }
@@ -404,7 +416,7 @@
         for wire in idle {
             let quiet = !self.arrived(wire, 0);
             let Some((connection, open)) = self.proxies[at].conns.get_mut(&wire) else { continue };
-            if connection.turn(Event::Ask { now, attempt, quiet }) == Step::Go {
+            if connection.apply(Event::Begin { now, attempt_id: attempt, quiet }) == Action::Continue {
                 *open = Some(number);
                 return wire;
             }
@@ -412,8 +424,8 @@
             self.close(wire, 0, true);
         }
         let wire = self.wire(Agent::Proxy(at), Agent::Backend(at));
-        let mut connection = Connection::fresh();
-        connection.turn(Event::Ask { now, attempt, quiet: true });
+        let mut connection = BackendConnection::new();
+        connection.apply(Event::Begin { now, attempt_id: attempt, quiet: true });
         self.proxies[at].conns.insert(wire, (connection, Some(number)));
         wire
     }
@@ -426,7 +438,7 @@
         {
             work.stage = Stage::Sent;
             if let Some((connection, _)) = self.proxies[at].conns.get_mut(&wire) {
-                connection.turn(Event::Written);
+                connection.apply(Event::Written);
             }
             self.send(wire, 0, Load::Rest);
         }
@@ -445,39 +457,41 @@
             // It comes behind the answer that is passed on.
             return;
         }
-        let own = notchspool_data_plane::connection::Id::One(work.ask.attempt_id.clone());
-        let missing = reply.head.id == notchspool_data_plane::connection::Id::Missing;
+        let own = AnswerId::One(work.ask.attempt_id.clone());
+        let missing = reply.head.id == AnswerId::Missing;
         if ids || (bare && missing && reply.head.not_run) {
             reply.head.id = own;
         }
         if matches!(work.stage, Stage::Sending(..)) {
-            connection.turn(Event::Early);
+            connection.apply(Event::EarlyData);
         }
         let keep = reply.keep.then_some(now + Micros::ms(8_000));
-        match connection.turn(Event::Head(&reply.head)) {
-            Step::Ours => {}
-            Step::PassOver => {
-                if let Step::MayHaveRun(why) = connection.turn(Event::Whole { keep, surplus: false }) {
-                    self.over(at, number, Word::MayHaveRun(why), &reply);
+        match connection.apply(Event::Head(&reply.head)) {
+            Action::ReadAnswer => {}
+            Action::SkipAnswer => {
+                if let Action::MayHaveRun(why) =
+                    connection.apply(Event::Complete { reusable_until: keep, surplus: false })
+                {
+                    self.over(at, number, BackendVerdict::MayHaveRun(why), &reply);
                 }
                 return;
             }
-            Step::TurnedAway(word) => return self.over(at, number, word, &reply),
-            _ => return self.over(at, number, Word::MayHaveRun("not its answer"), &reply),
+            Action::Refused(word) => return self.over(at, number, word, &reply),
+            _ => return self.over(at, number, BackendVerdict::MayHaveRun("not its answer"), &reply),
         }
-        let word = match reply.head.word() {
-            Word::MayHaveRun(_) if promises && reply.head.status == 503 => Word::NotRun,
+        let word = match reply.head.verdict() {
+            BackendVerdict::MayHaveRun(_) if promises && reply.head.status == 503 => BackendVerdict::NotRun,
             word => word,
         };
         let keyed = !work.ask.key.is_empty();
-        if word == Word::Answered && !keyed && reply.bytes > 1 && reply.head.status < 300 {
+        if word == BackendVerdict::Answered && !keyed && reply.bytes > 1 && reply.head.status < 300 {
             return self.streams(at, number, reply);
         }
         if !reply.whole && !self.is(Breach::Bodies) {
-            return self.over(at, number, Word::MayHaveRun("the body was cut short"), &reply);
+            return self.over(at, number, BackendVerdict::MayHaveRun("the body was cut short"), &reply);
         }
         if let Some((connection, open)) = self.proxies[at].conns.get_mut(&wire)
-            && let Step::Keep(_) = connection.turn(Event::Whole { keep, surplus })
+            && let Action::Reuse(_) = connection.apply(Event::Complete { reusable_until: keep, surplus })
         {
             *open = None;
         }
@@ -511,15 +525,15 @@
             None => self.over_with(
                 at,
                 number,
-                Word::MayHaveRun("the backend closed").said(0, PeerResponse::default()),
+                BackendVerdict::MayHaveRun("the backend closed").into_response(0, PeerResponse::default()),
             ),
         }
     }
 
     /// The backend is done with it. Its connection is let go where it is not kept.
-    fn over(&mut self, at: usize, number: u64, word: Word, reply: &Reply) {
+    fn over(&mut self, at: usize, number: u64, word: BackendVerdict, reply: &Reply) {
         let bytes = if reply.whole { reply.bytes } else { reply.bytes.saturating_sub(1) };
-        self.over_with(at, number, word.said(0, World::answer(reply, bytes)));
+        self.over_with(at, number, word.into_response(0, World::answer(reply, bytes)));
     }
 
     fn over_with(&mut self, at: usize, number: u64, said: PeerResponse) {
@@ -545,9 +559,9 @@
         let (key, ticket) = (work.ask.key.clone(), work.ask.ticket.unwrap_or_default());
         let may = takes_back && said.verdict() == Verdict::MayHaveRun;
         if may {
-            operation::not_begun(&mut proxy.coats, now, &key);
+            keyed_operation::on_not_run(&mut proxy.coats, now, &key);
         }
-        if may || operation::ended(&mut proxy.coats, now, &key, said) {
+        if may || keyed_operation::on_finished(&mut proxy.coats, now, &key, said) {
             self.withdraw(at, &key, ticket);
         }
     }
@@ -562,7 +576,7 @@
 
     /// A large answer: what has come, and the rest as it comes.
     fn streams(&mut self, at: usize, number: u64, reply: Reply) {
-        let said = Word::Answered.said(0, World::answer(&reply, 1));
+        let said = BackendVerdict::Answered.into_response(0, World::answer(&reply, 1));
         let proxy = &mut self.proxies[at];
         let wire = proxy.conns.iter().find(|c| c.1.1 == Some(number)).map_or(0, |c| *c.0);
         let Some(work) = proxy.works.get_mut(&number) else { return };
@@ -596,7 +610,7 @@
             let surplus = self.arrived(wire, 0);
             if let Some((connection, open)) = self.proxies[at].conns.get_mut(&wire)
                 && !broken
-                && let Step::Keep(_) = connection.turn(Event::Whole { keep, surplus })
+                && let Action::Reuse(_) = connection.apply(Event::Complete { reusable_until: keep, surplus })
             {
                 *open = None;
             }
@@ -632,7 +646,7 @@
         if let From::Wire(wire, id) = from
             && let Some(open) = self.proxies[at].carried.get_mut(wire)
         {
-            open.turn(Asked::Done(*id));
+            open.apply(IncomingEvent::Finished(*id));
         }
     }
 
@@ -642,7 +656,7 @@
         let Some(work) = proxy.works.get_mut(&number) else { return };
         if work.claim.take().is_some() {
             let (key, ticket) = (work.ask.key.clone(), work.ask.ticket.unwrap_or_default());
-            operation::not_begun(&mut proxy.coats, now, &key);
+            keyed_operation::on_not_run(&mut proxy.coats, now, &key);
             self.withdraw(at, &key, ticket);
         }
     }
@@ -688,7 +702,7 @@
             Stage::Waiting(place) => {
                 let place = *place;
                 if self.proxies[at].waiting.remove(&place).is_some() {
-                    self.proxies[at].door.left(now, place);
+                    self.proxies[at].door.cancel(now, place);
                 }
             }
             Stage::Sending(..) | Stage::Sent => {
@@ -725,13 +739,14 @@
             }
             match work.stage {
                 Stage::Sending(..) | Stage::Sent => {
-                    let said = Word::MayHaveRun("no answer in time").said(0, PeerResponse::default());
+                    let said = BackendVerdict::MayHaveRun("no answer in time")
+                        .into_response(0, PeerResponse::default());
                     self.over_with(at, number, said);
                 }
                 Stage::Waiting(place) => {
                     self.proxies[at].waiting.remove(&place);
-                    self.proxies[at].door.left(now, place);
-                    self.ends(at, number, only(0, Verdict::NotRun, "full"));
+                    self.proxies[at].door.cancel(now, place);
+                    self.ends(at, number, without_answer(0, Verdict::NotRun, "full"));
                 }
                 Stage::Streaming(..) => {
                     let from = work.from.clone();
@@ -745,13 +760,17 @@
         self.pieces(at);
         self.lobby_wakes(at);
         if (now.0 / 1_000) % 100 == 0 {
-            self.proxies[at].still.runs(now);
+            self.proxies[at].still.observe(now);
             self.looks(at);
             let (proxy, instance) = (&mut self.proxies[at], self.backends[at].instance.clone());
             proxy.coats.tick(now);
             proxy.knows = instance;
-            let past: Vec<u64> =
-                proxy.conns.iter().filter(|c| c.1.1.is_none() && c.1.0.past(now)).map(|c| *c.0).collect();
+            let past: Vec<u64> = proxy
+                .conns
+                .iter()
+                .filter(|c| c.1.1.is_none() && c.1.0.is_expired(now))
+                .map(|c| *c.0)
+                .collect();
             for wire in past {
                 self.proxies[at].conns.remove(&wire);
                 self.close(wire, 0, false);
--- a/crates/lab/src/mesh/traffic/lobby.rs
+++ b/crates/lab/src/mesh/traffic/lobby.rs
@@ -1,10 +1,10 @@
 //! A proxy where requests begin: what they are told, and the links to other proxies.
 use notchspool::units::Micros;
-use notchspool_data_plane::attempts::{Attempts, Event, Next, Terms};
-use notchspool_data_plane::exchange::{Asking, Event as Heard, LONGEST, Step};
-use notchspool_data_plane::link::only;
-use notchspool_data_plane::operation::NOT_HERE;
-use notchspool_data_plane::standstill::FROZEN;
+use notchspool_data_plane::attempts::{Action, Attempts, Event, RetryPolicy};
+use notchspool_data_plane::keyed_operation::NOT_RUN_HERE;
+use notchspool_data_plane::peer_exchange::{MAX_SILENCE, OutgoingAction, OutgoingEvent, OutgoingExchanges};
+use notchspool_data_plane::peer_link::without_answer;
+use notchspool_data_plane::stall_detector::LONG_STALL;
 use notchspool_mesh_protocol::{
     Cancel, FetchResponse, Payload, Ping, Request as PeerRequest, Response as PeerResponse, Ticket, Verdict,
 };
@@ -21,7 +21,7 @@
 type Wait = (String, u64);
 
 pub struct Asker {
-    asking: Asking<Wait, Wait>,
+    asking: OutgoingExchanges<Wait, Wait>,
     /// What waits for the link to be there.
     pending: Option<Vec<Payload>>,
     reads: u64,
@@ -79,7 +79,7 @@
             if fetching {
                 self.answers(at, &attempt, 504, None);
             } else {
-                self.came(at, &attempt, serial, only(0, Verdict::MayHaveRun, "no answer in time"));
+                self.came(at, &attempt, serial, without_answer(0, Verdict::MayHaveRun, "no answer in time"));
             }
         }
     }
@@ -87,7 +87,7 @@
     /// A client's request is read.
     fn takes(&mut self, at: usize, attempt: &str) {
         let now = self.now;
-        let age = self.proxies[at].still.runs(now);
+        let age = self.proxies[at].still.observe(now);
         let Some(client) = self.judge.clients.get(attempt).filter(|c| !c.gone) else { return };
         let (kind, left) = (client.kind.clone(), client.until - client.sent);
         let proxy = &mut self.proxies[at];
@@ -95,11 +95,11 @@
         let ticket = Ticket { boot_id: proxy.life, number, attempt: 0 };
         let key = if let Kind::Keyed(key) = &kind { key.clone() } else { String::new() };
         let began = now - age;
-        let until = if age >= FROZEN { began } else { now } + left;
-        let terms = Terms {
-            repeatable: kind == Kind::Safe || self.breach == Some(Breach::Repeat),
-            most: MOST,
-            until,
+        let until = if age >= LONG_STALL { began } else { now } + left;
+        let policy = RetryPolicy {
+            idempotent: kind == Kind::Safe || self.breach == Some(Breach::Repeat),
+            max_attempts: MOST,
+            deadline: until,
             ticket: (!key.is_empty()).then_some(ticket),
         };
         let began = if self.breach == Some(Breach::Ages) { now } else { began };
@@ -108,7 +108,7 @@
             ticket,
             began,
             until,
-            attempts: Attempts::open(terms),
+            attempts: Attempts::new(policy),
             stage: Stage::Idle,
             serial: 0,
             failed: None,
@@ -121,7 +121,7 @@
     fn goes(&mut self, at: usize, attempt: &str) {
         let now = self.now;
         let aims = &self.proxies[at].aims;
-        let nth = self.proxies[at].requests.get(attempt).map_or(0, |r| r.attempts.posted() as usize);
+        let nth = self.proxies[at].requests.get(attempt).map_or(0, |r| r.attempts.sent() as usize);
         let aim = aims.get(nth.min(aims.len().saturating_sub(1))).copied();
         let nobody = aim.is_none() && self.luck(0.05);
         let anywhere = self.below(self.proxies.len() as u64) as usize;
@@ -129,9 +129,9 @@
         let instance = self.proxies[to].knows.clone();
         let ages = self.is(Breach::Ages);
         let Some(request) = self.proxies[at].requests.get_mut(attempt) else { return };
-        let event = if nobody { Event::Nobody } else { Event::Post };
-        let ticket = match request.attempts.turn(now, event, &|| true) {
-            Next::Send(_, ticket) => ticket,
+        let event = if nobody { Event::NoBackend } else { Event::Picked };
+        let ticket = match request.attempts.apply(now, event, &|| true) {
+            Action::Send { ticket, .. } => ticket,
             next => {
                 return match request.failed.take() {
                     Some(said) => self.relays(at, attempt, said),
@@ -196,17 +196,17 @@
         request.stage = Stage::Idle;
         let said = match said.verdict() {
             Verdict::MayHaveRun if links && said.reason == "the link ended" => {
-                only(0, Verdict::NotRun, "the link ended")
+                without_answer(0, Verdict::NotRun, "the link ended")
             }
             _ => said,
         };
-        match request.attempts.turn(now, Event::Came(&said), &|| spends) {
-            Next::Fence => {
+        match request.attempts.apply(now, Event::Response(&said), &|| spends) {
+            Action::Fence => {
                 let life = self.proxies[at].life;
                 let number = self.proxies[at].number();
                 let Some(request) = self.proxies[at].requests.get_mut(attempt) else { return };
                 let fence =
-                    Ticket { boot_id: life, number, attempt: request.attempts.posted().saturating_sub(1) };
+                    Ticket { boot_id: life, number, attempt: request.attempts.sent().saturating_sub(1) };
                 let key = request.key.clone();
                 request.stage = Stage::Fencing;
                 if fences {
@@ -215,13 +215,13 @@
                 }
                 self.claim(at, &key, fence, Purpose::Fence(attempt.into(), serial, fence));
             }
-            Next::Again => {
+            Action::Retry => {
                 if said.verdict() == Verdict::Answered {
                     request.failed = Some(said);
                 }
                 self.goes(at, attempt);
             }
-            Next::Relay if said.more => {
+            Action::Relay if said.more => {
                 let got = Got {
                     status: said.status,
                     id: attempt.into(),
@@ -230,8 +230,8 @@
                 };
                 request.stage = Stage::Streaming(way, got);
             }
-            Next::Relay => self.relays(at, attempt, said),
-            Next::FromHolder => self.fetches(at, attempt, &said),
+            Action::Relay => self.relays(at, attempt, said),
+            Action::FetchFromHolder => self.fetches(at, attempt, &said),
             next => self.given_up(at, attempt, next),
         }
     }
@@ -242,8 +242,8 @@
             return;
         };
         request.stage = Stage::Idle;
-        match request.attempts.turn(now, Event::Fenced(ticket, granted), &|| true) {
-            Next::Again => self.goes(at, attempt),
+        match request.attempts.apply(now, Event::Fence { ticket, granted }, &|| true) {
+            Action::Retry => self.goes(at, attempt),
             next => self.given_up(at, attempt, next),
         }
     }
@@ -271,16 +271,16 @@
         match said.verdict() {
             Verdict::Answered => self.relays(at, attempt, said),
             Verdict::InProgress => self.answers(at, attempt, 409, None),
-            Verdict::NotRun if said.reason == NOT_HERE => self.answers(at, attempt, 503, None),
+            Verdict::NotRun if said.reason == NOT_RUN_HERE => self.answers(at, attempt, 503, None),
             _ => self.answers(at, attempt, 502, None),
         }
     }
 
-    fn given_up(&mut self, at: usize, attempt: &str, next: Next) {
+    fn given_up(&mut self, at: usize, attempt: &str, next: Action) {
         let status = match next {
-            Next::Refuse => 503,
-            Next::AtWork => 409,
-            Next::Unanswered { over: true } => 504,
+            Action::Reject => 503,
+            Action::InProgress => 409,
+            Action::Unanswered { timed_out: true } => 504,
             _ => 502,
         };
         self.answers(at, attempt, status, None);
@@ -336,7 +336,7 @@
         let Some(request) = self.proxies[at].requests.get_mut(attempt) else { return };
         match std::mem::replace(&mut request.stage, Stage::Idle) {
             Stage::Out(wire, id) | Stage::Fetching(wire, id) | Stage::Streaming(Some((wire, id)), _) => {
-                self.turn(at, wire, now, Heard::GiveUp(id));
+                self.turn(at, wire, now, OutgoingEvent::Abandon(id));
             }
             Stage::Here(work) => self.abort(at, work),
             Stage::Streaming(None, _) | Stage::Fencing | Stage::Idle => {}
@@ -353,22 +353,23 @@
     fn asks(&mut self, at: usize, to: usize, id: u64, wait: Wait, what: Payload) -> u64 {
         let now = self.now;
         let known = self.proxies[at].links.get(&to).copied();
-        let open = known.filter(|w| self.proxies[at].askers.get(w).is_some_and(|a| a.asking.takes()));
+        let open =
+            known.filter(|w| self.proxies[at].askers.get(w).is_some_and(|a| a.asking.accepts_requests()));
         let wire = open.unwrap_or_else(|| {
             let wire = self.dial(at, to);
-            let asker = Asker { asking: Asking::open(now), pending: Some(Vec::new()), reads: 0 };
+            let asker = Asker { asking: OutgoingExchanges::new(now), pending: Some(Vec::new()), reads: 0 };
             self.proxies[at].links.insert(to, wire);
             self.proxies[at].askers.insert(wire, asker);
             wire
         });
         let Some(asker) = self.proxies[at].askers.get_mut(&wire) else { return wire };
-        match asker.asking.turn(now, Heard::Ask(id, wait)) {
-            Step::Send => match &mut asker.pending {
+        match asker.asking.apply(now, OutgoingEvent::Request(id, wait)) {
+            OutgoingAction::Send => match &mut asker.pending {
                 Some(pending) => pending.push(what),
                 None => self.send(wire, 0, cue(what)),
             },
-            Step::NotRun(why, (attempt, serial)) => {
-                self.came(at, &attempt, serial, only(0, Verdict::NotRun, why));
+            OutgoingAction::NotRun(why, (attempt, serial)) => {
+                self.came(at, &attempt, serial, without_answer(0, Verdict::NotRun, why));
             }
             _ => {}
         }
@@ -377,7 +378,7 @@
 
     pub(super) fn link_up(&mut self, at: usize, wire: u64) {
         let now = self.now;
-        self.turn(at, wire, now, Heard::Up);
+        self.turn(at, wire, now, OutgoingEvent::Connected);
         let pending = self.proxies[at].askers.get_mut(&wire).and_then(|a| a.pending.take());
         for what in pending.unwrap_or_default() {
             self.send(wire, 0, cue(what));
@@ -386,7 +387,7 @@
 
     pub(super) fn link_ends(&mut self, at: usize, wire: u64) {
         let now = self.now;
-        self.turn(at, wire, now, Heard::Ends);
+        self.turn(at, wire, now, OutgoingEvent::Closed);
     }
 
     pub(super) fn link_hears(&mut self, at: usize, wire: u64, what: Payload) {
@@ -399,17 +400,19 @@
                 let id = said.id;
                 let Some(asker) = self.proxies[at].askers.get_mut(&wire) else { return };
                 // Who it is for is known by the id alone.
-                let step = asker.asking.turn(now, Heard::Said(id, said.more.then(|| (String::new(), id))));
+                let step = asker
+                    .asking
+                    .apply(now, OutgoingEvent::Response(id, said.more.then(|| (String::new(), id))));
                 match step {
-                    Step::Give((attempt, serial)) => self.came(at, &attempt, serial, said),
-                    Step::Cut(_) => self.cuts_link(at, wire),
+                    OutgoingAction::Deliver((attempt, serial)) => self.came(at, &attempt, serial, said),
+                    OutgoingAction::Abort(_) => self.cuts_link(at, wire),
                     _ => {}
                 }
             }
             Payload::BodyChunk(part) => {
                 let Some(asker) = self.proxies[at].askers.get_mut(&wire) else { return };
-                match asker.asking.turn(now, Heard::Part { id: part.id, last: part.last }) {
-                    Step::Pass((_, id)) => {
+                match asker.asking.apply(now, OutgoingEvent::BodyChunk { id: part.id, last: part.last }) {
+                    OutgoingAction::Forward((_, id)) => {
                         let to = self.proxies[at].requests.iter().find_map(|(attempt, r)| {
                             matches!(r.stage, Stage::Streaming(Some((w, i)), _) if (w, i) == (wire, id))
                                 .then(|| (attempt.clone(), r.serial))
@@ -419,11 +422,11 @@
                             self.piece(at, &attempt, serial, bytes, part.last, part.truncated);
                         }
                     }
-                    Step::Cut(_) => self.cuts_link(at, wire),
+                    OutgoingAction::Abort(_) => self.cuts_link(at, wire),
                     _ => {}
                 }
             }
-            Payload::Pong(pong) => self.turn(at, wire, now, Heard::Pong(pong.number)),
+            Payload::Pong(pong) => self.turn(at, wire, now, OutgoingEvent::Pong(pong.number)),
             _ => {}
         }
     }
@@ -433,22 +436,22 @@
         self.link_ends(at, wire);
     }
 
-    fn turn(&mut self, at: usize, wire: u64, now: Micros, event: Heard<Wait, Wait>) {
-        let id = if let Heard::GiveUp(id) = &event { *id } else { 0 };
+    fn turn(&mut self, at: usize, wire: u64, now: Micros, event: OutgoingEvent<Wait, Wait>) {
+        let id = if let OutgoingEvent::Abandon(id) = &event { *id } else { 0 };
         let Some(asker) = self.proxies[at].askers.get_mut(&wire) else { return };
         let up = asker.pending.is_none();
-        match asker.asking.turn(now, event) {
-            Step::Cancel => match &mut asker.pending {
+        match asker.asking.apply(now, event) {
+            OutgoingAction::Cancel => match &mut asker.pending {
                 Some(pending) => pending.push(Payload::Cancel(Cancel { id })),
                 None => self.send(wire, 0, cue(Payload::Cancel(Cancel { id }))),
             },
-            Step::Ping(number) if up => self.send(wire, 0, cue(Payload::Ping(Ping { number }))),
-            Step::Finish => {
+            OutgoingAction::Ping(number) if up => self.send(wire, 0, cue(Payload::Ping(Ping { number }))),
+            OutgoingAction::Finish => {
                 self.close(wire, 0, false);
                 self.link_ends(at, wire);
             }
-            Step::Cut(_) => self.cuts_link(at, wire),
-            Step::Ended(verdict, waiters, streams) => {
+            OutgoingAction::Abort(_) => self.cuts_link(at, wire),
+            OutgoingAction::Closed { verdict, waiting: waiters, streams } => {
                 self.proxies[at].askers.remove(&wire);
                 self.proxies[at].links.retain(|_, w| *w != wire);
                 let broken: Vec<(String, u64)> = self.proxies[at]
@@ -464,7 +467,7 @@
                     self.piece(at, &attempt, serial, 0, true, true);
                 }
                 for (_, (attempt, serial)) in waiters {
-                    self.came(at, &attempt, serial, only(0, verdict, "the link ended"));
+                    self.came(at, &attempt, serial, without_answer(0, verdict, "the link ended"));
                 }
             }
             _ => {}
@@ -475,7 +478,12 @@
         let now = self.now;
         let all: Vec<(u64, u64)> = self.proxies[at].askers.iter().map(|a| (*a.0, a.1.reads)).collect();
         for (wire, reads) in all {
-            self.turn(at, wire, now, Heard::Look { reads, lost: LOST.min(LONGEST) });
+            self.turn(
+                at,
+                wire,
+                now,
+                OutgoingEvent::Tick { read_count: reads, max_silence: LOST.min(MAX_SILENCE) },
+            );
         }
     }
 }
--- a/crates/mesh-config/tests/agreement.rs
+++ b/crates/mesh-config/tests/agreement.rs
@@ -76,7 +76,7 @@
     let (incarnation, incarnations) = (voter.incarnation(), voter.known_incarnations());
     let kept = voter.space(&proposer::config_space()).cloned().unwrap_or_default();
     DurableState {
-        incarnation: incarnation,
+        incarnation,
         known_incarnations: incarnations.clone(),
         spaces: vec![(proposer::config_space(), kept.promised, kept.entries, kept.lease).into()],
     }
--- a/crates/mesh-protocol/src/message/exchange.rs
+++ b/crates/mesh-protocol/src/message/exchange.rs
@@ -91,7 +91,7 @@
     /// A request with its key ran, but its response is not known.
     ResponseLost = 5,
     /// Not run, and the instance that was meant is not here any more.
-    WrongInstance = 6,
+    OtherInstance = 6,
 }
 
 /// The response to a [`Request`], or the first part of one that is streamed.
--- a/crates/proxy/tests/whole.rs
+++ b/crates/proxy/tests/whole.rs
@@ -14,7 +14,7 @@
 
 const BOUND: Duration = Duration::from_secs(30);
 
-fn told(ip: &str, data: Option<&Path>, seed: &str, service: &str) -> (PathBuf, NodeSettings) {
+fn response(ip: &str, data: Option<&Path>, seed: &str, service: &str) -> (PathBuf, NodeSettings) {
     let listen =
         r#"{"inbound":"IP:8300","outbound":"IP:8304","readiness":"IP:8302","controlPlane":"IP:8306"}"#;
     let data = data.map_or("null".to_string(), |d| format!("{:?}", d.display().to_string()));
@@ -26,8 +26,8 @@
     );
     let text = text.replace(r#""retrySlack":60"#, r#""retrySlack=60""#);
     let file = PathBuf::from(ip);
-    let told = NodeSettings::parse(&file, text.as_bytes()).unwrap();
-    (file, told)
+    let response = NodeSettings::parse(&file, text.as_bytes()).unwrap();
+    (file, response)
 }
 
 fn on_a_thread<F: Future<Output = ()>>(run: impl FnOnce() -> F + Send + 'static) {
@@ -142,7 +142,7 @@
     message.0.split(' ').nth(1).unwrap_or_default()
 }
 
-fn beat(ip: &str, id: &str, state: &str, calls: u64) -> bool {
+fn heartbeat(ip: &str, id: &str, state: &str, calls: u64) -> bool {
     let body = format!(
         r#"{{"address":"{ip}:8301","details":{{"service":"s","version":"v1","zone":"a","freeSlots":6}},"status":{{"state":"{state}","callCount":{calls},"coldLeftS":0}}}}"#
     );
@@ -163,10 +163,10 @@
 }
 
 #[test]
-fn the_whole_path() {
+fn the_path_of_a_request() {
     let folder = std::env::temp_dir().join(format!("notchspool-whole-{}", std::process::id()));
     let core = "127.77.1.1";
-    let (file, of_core) = told(core, Some(&folder), core, "");
+    let (file, of_core) = response(core, Some(&folder), core, "");
     let control = of_core.listener(&file, "controlPlane").unwrap();
     on_a_thread(move || async move {
         let signals = Signals::install().unwrap();
@@ -177,12 +177,12 @@
     let seen: Vec<Seen> =
         proxies.iter().zip(["i-1", "i-2"]).map(|(ip, id)| backend(&format!("{ip}:8301"), id)).collect();
     for ip in proxies {
-        let (file, told) = told(ip, None, core, "s");
+        let (file, response) = response(ip, None, core, "s");
         let [outbound, readiness, control_plane] =
-            ["outbound", "readiness", "controlPlane"].map(|name| told.listener(&file, name).unwrap());
+            ["outbound", "readiness", "controlPlane"].map(|name| response.listener(&file, name).unwrap());
         let listeners = Listeners { outbound, readiness, control_plane };
         on_a_thread(move || async move {
-            let settings = CheckedSettings { node: told, file, listeners };
+            let settings = CheckedSettings { node: response, file, listeners };
             notchspool_data_plane::run::run(settings, Signals::install().unwrap()).await.unwrap()
         });
     }
@@ -199,7 +199,7 @@
     assert_eq!(rpc(core, "config.read", "").unwrap().2, CONFIG.as_bytes());
 
     until("beats are taken", || {
-        proxies.iter().zip(["i-1", "i-2"]).all(|(ip, id)| beat(ip, id, "ready", 1)).then_some(())
+        proxies.iter().zip(["i-1", "i-2"]).all(|(ip, id)| heartbeat(ip, id, "ready", 1)).then_some(())
     });
     assert_eq!(status(&rpc(proxies[0], "instances.heartbeat&of=i-1", "{").unwrap()), "400");
     for ip in proxies {
@@ -249,7 +249,7 @@
     assert_eq!(runs("/k/2"), 0);
 
     // Who drains gets nothing new once its part of the drain is over, and who is left takes all.
-    assert!(beat(proxies[1], "i-2", "draining", 2));
+    assert!(heartbeat(proxies[1], "i-2", "draining", 2));
     assert_eq!(status(&rpc(proxies[1], "instances.leave&of=i-2", "").unwrap()), "200");
     let before = seen[1].lock().unwrap().len();
     for n in 0..20 {
