--- a/crates/agent/src/house/build.rs
+++ b/crates/agent/src/house/build.rs
@@ -44,9 +44,9 @@
         routes.push(Route {
             id: number(numbers, route, on),
             name: route.name.clone(),
-            scheme: notchspool::units::SchemeId(route.scheme),
+            scheme: notchspool::units::ClassId(route.scheme),
             kind: row.scheme.kind,
-            group: row.scheme.group,
+            group: row.scheme.scope,
             reference: references[route.scheme].clone(),
             shares: route.pools.iter().map(|&(at, share)| (told.pools[at].name.clone(), share)).collect(),
             at: route.pools.iter().map(|p| p.0).collect(),
--- a/crates/agent/src/house/pool.rs
+++ b/crates/agent/src/house/pool.rs
@@ -138,12 +138,12 @@
             at: m.at,
             zone: m.zone.clone(),
             model: String::new(),
-            entry: Entry {
+            entry: ListEntry {
                 cell: CellId(m.cell),
-                standing: Standing::Ready,
+                status: EndpointStatus::Ready,
                 started: Micros(0),
                 size: m.size,
-                ..Entry::default()
+                ..ListEntry::default()
             },
         };
         let rows = pool.members.iter().map(row).collect();
--- a/crates/agent/src/house/state.rs
+++ b/crates/agent/src/house/state.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use awc::http::header::{HeaderName, HeaderValue};
-use notchspool::units::{Group, Kind, Micros, SchemeId, TenantId};
+use notchspool::units::{ClassId, DeduplicationScope, Micros, RequestKind, TenantId};
 use notchspool_routes::table::Table;
 use notchspool_settings::file::{OTHERS, Sticky};
 
@@ -25,9 +25,9 @@
 pub struct Route {
     pub id: RouteId,
     pub name: String,
-    pub scheme: SchemeId,
-    pub kind: Kind,
-    pub group: Group,
+    pub scheme: ClassId,
+    pub kind: RequestKind,
+    pub group: DeduplicationScope,
     /// The header that carries a reference.
     pub reference: Option<HeaderName>,
     /// By name, for the shares; the same order as `at`.
--- a/crates/agent/src/life/run.rs
+++ b/crates/agent/src/life/run.rs
@@ -9,7 +9,7 @@
 use actix_http::body::BoxBody;
 use actix_http::{HttpService, KeepAlive, Request, Response};
 use actix_service::{Service, ServiceFactory, fn_service};
-use notchspool::units::{Micros, Terms};
+use notchspool::units::{Micros, Policy};
 use tokio::net::TcpListener;
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::sync::oneshot;
@@ -72,17 +72,17 @@
         // Not near the time at which the backend closes: a posting written then may have run.
         idle: span(agreed.idle_close.times(0.8)),
     });
-    let slas = agreed.terms.schemes.iter().map(|row| row.sla);
+    let slas = agreed.terms.classes.iter().map(|row| row.latency_target);
     let shape = Rc::new(learnt::Shape {
-        agents: agreed.terms.agents,
-        live: agreed.terms.live_weights,
+        agents: agreed.terms.agent_count,
+        live: agreed.terms.weights_follow_load,
         schemes: agreed.schemes.iter().cloned().zip(slas).collect(),
     });
-    let schemes = agreed.schemes.into_iter().zip(agreed.terms.schemes.iter().map(|row| row.kind)).collect();
+    let schemes = agreed.schemes.into_iter().zip(agreed.terms.classes.iter().map(|row| row.kind)).collect();
     let longest = Rc::new(Cell::new(agreed.longest));
     let away = agreed.terms.retry_after.map(|most| most.min(SOON));
     // On sockets the list always has to be asked for, whatever the simulator does at this site.
-    let terms = Terms { list_on_request: true, ..agreed.terms };
+    let terms = Policy { list_on_request: true, ..agreed.terms };
     agreed.unused.iter().for_each(|what| log::info!("settings: {what}"));
     let pulse = Rc::new(Pulse::new(clock.now()));
     let desk = Desk::open(terms, seed, clock, pulse.clone(), counters.clone(), Budgets::default()).start();
@@ -165,7 +165,7 @@
         while let Some(kept) = &kept {
             let names = answer_of(|tell| list.do_send(Names(tell))).await;
             if let Some(elder) = kept.left().and_then(|text| learnt::read(&text, &names, &shape, begun)) {
-                match elder.same {
+                match elder.same_shape {
                     true => log::info!("taken over from the elder: a window of {:.1}", elder.window),
                     false => log::info!("taken over from an elder of another shape: windows begin afresh"),
                 }
--- a/crates/agent/src/memory/counters.rs
+++ b/crates/agent/src/memory/counters.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-use notchspool::units::Fate;
+use notchspool::units::AttemptOutcome;
 
 use crate::base::logger;
 
@@ -27,18 +27,18 @@
     pub fn count(&self, what: &str) -> u64 {
         self.counts.borrow().get(what).copied().unwrap_or_default()
     }
-    pub fn posting(&self, fate: Fate) {
+    pub fn posting(&self, fate: AttemptOutcome) {
         self.add(match fate {
-            Fate::Settled => "posting_settled",
-            Fate::Errored => "posting_errored",
-            Fate::TurnedAway => "posting_turned_away",
-            Fate::Unusable => "posting_unusable",
-            Fate::TimedOut => "posting_timed_out",
-            Fate::NoLink => "posting_no_link",
-            Fate::Broken => "posting_broken",
-            Fate::Withdrawn => "posting_withdrawn",
-            Fate::NeverSent => "posting_never_sent",
-            Fate::Spent => "posting_spent",
+            AttemptOutcome::Succeeded => "posting_settled",
+            AttemptOutcome::Failed => "posting_errored",
+            AttemptOutcome::Rejected => "posting_turned_away",
+            AttemptOutcome::Unusable => "posting_unusable",
+            AttemptOutcome::TimedOut => "posting_timed_out",
+            AttemptOutcome::ConnectFailed => "posting_no_link",
+            AttemptOutcome::ConnectionLost => "posting_broken",
+            AttemptOutcome::Cancelled => "posting_withdrawn",
+            AttemptOutcome::NotSent => "posting_never_sent",
+            AttemptOutcome::BodyConsumed => "posting_spent",
         });
     }
     /// Txns in hand, and those whose answers still pass through: both hold room.
--- a/crates/agent/src/memory/desk.rs
+++ b/crates/agent/src/memory/desk.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use actix::{Actor, ActorContext, AsyncContext, Context, Handler, Message, Recipient};
-use notchspool::heir::Learnt;
-use notchspool::logic::Balancer;
+use notchspool::balancer::Balancer;
+use notchspool::state_transfer::LearnedState;
 use notchspool::units::*;
 use tokio::sync::oneshot;
 
@@ -26,7 +26,7 @@
 
 impl Desk {
     pub fn open(
-        terms: Terms,
+        terms: Policy,
         seed: u64,
         clock: Clock,
         pulse: Rc<Pulse>,
@@ -43,7 +43,7 @@
             unserved: Vec::new(),
             unsent: Vec::new(),
         };
-        Desk { balancer: Balancer::open(terms, seed, clock.now()), hand, clock, pulse, closing: None }
+        Desk { balancer: Balancer::new(terms, seed, clock.now()), hand, clock, pulse, closing: None }
     }
     /// Every call on the module passes here: its clock is set before, a wake it asks for is arranged after.
     fn call(&mut self, ctx: &mut Context<Desk>, call: impl FnOnce(&mut Balancer, &mut Hand)) {
@@ -53,10 +53,10 @@
     }
     /// The same at another moment than now.
     fn call_at(&mut self, now: Micros, ctx: &mut Context<Desk>, call: impl FnOnce(&mut Balancer, &mut Hand)) {
-        self.balancer.clock(now);
+        self.balancer.set_clock(now);
         call(&mut self.balancer, &mut self.hand);
         if !self.hand.unserved.is_empty() {
-            self.hand.settle_accounts(self.balancer.sound());
+            self.hand.settle_accounts(self.balancer.healthy_backends());
         }
         for (txn, posting, backend, fate) in std::mem::take(&mut self.hand.unsent) {
             let took = Micros(0);
@@ -69,11 +69,11 @@
 }
 
 /// What a backend told of its load, with a posting or a probe.
-fn heard(balancer: &mut Balancer, hand: &Hand, backend: BackendId, report: Option<Report>) {
+fn heard(balancer: &mut Balancer, hand: &Hand, backend: BackendId, report: Option<LoadReport>) {
     if report.is_some() {
         hand.counters.add("reports");
     }
-    balancer.reported(backend, report);
+    balancer.on_load_report(backend, report);
 }
 
 impl Actor for Desk {
@@ -93,7 +93,7 @@
             self.hand.peers.values().for_each(|peer| peer.do_send(ToPeer::Retire));
             return ctx.stop();
         }
-        self.call(ctx, |balancer, hand| balancer.wake(hand));
+        self.call(ctx, |balancer, hand| balancer.on_wake(hand));
     }
 }
 
@@ -111,22 +111,22 @@
 /// What the module has learnt, for a process that takes over.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct Tell(pub oneshot::Sender<Learnt>);
+pub struct Tell(pub oneshot::Sender<LearnedState>);
 impl Handler<Tell> for Desk {
     type Result = ();
     fn handle(&mut self, tell: Tell, _: &mut Context<Desk>) {
-        let _ = tell.0.send(self.balancer.learnt());
+        let _ = tell.0.send(self.balancer.learned_state());
     }
 }
 
 /// What an elder has learnt, before the first txn.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct Inherit(pub Learnt);
+pub struct Inherit(pub LearnedState);
 impl Handler<Inherit> for Desk {
     type Result = ();
     fn handle(&mut self, elder: Inherit, _: &mut Context<Desk>) {
-        self.balancer.inherit(elder.0);
+        self.balancer.adopt(elder.0);
     }
 }
 
@@ -146,7 +146,7 @@
 pub struct Listed {
     pub how: Refresh,
     pub version: Generation,
-    pub entries: Vec<Entry>,
+    pub entries: Vec<ListEntry>,
 }
 impl Handler<Listed> for Desk {
     type Result = ();
@@ -157,7 +157,7 @@
         let now = self.clock.now();
         let told = self.pulse.waking(now).unwrap_or(now);
         self.call_at(told, ctx, |balancer, hand| {
-            balancer.listed(listed.how, listed.version, &listed.entries, hand)
+            balancer.on_list(listed.how, listed.version, &listed.entries, hand)
         });
     }
 }
@@ -169,7 +169,7 @@
     type Result = ();
     fn handle(&mut self, _: ListFailed, ctx: &mut Context<Desk>) {
         self.hand.counters.add("lists_failed");
-        self.call(ctx, |balancer, _| balancer.list_failed());
+        self.call(ctx, |balancer, _| balancer.on_list_failed());
     }
 }
 
@@ -180,7 +180,7 @@
     type Result = ();
     fn handle(&mut self, _: ListMoved, ctx: &mut Context<Desk>) {
         self.hand.counters.add("lists_moved");
-        self.call(ctx, |balancer, _| balancer.list_moved());
+        self.call(ctx, |balancer, _| balancer.on_list_source_changed());
     }
 }
 
@@ -188,8 +188,8 @@
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct Take {
-    pub txn: TxnRef,
-    pub scheme: SchemeId,
+    pub txn: RequestId,
+    pub scheme: ClassId,
     /// Whose it is, where the settings know the customer.
     pub tenant: Option<TenantId>,
     pub expiry: Micros,
@@ -216,7 +216,7 @@
         };
         self.hand.txns.insert(txn, held);
         self.hand.counters.in_hand.set(self.hand.counters.in_hand.get() + 1);
-        self.call(ctx, |balancer, hand| balancer.take(txn, scheme, expiry).of(tenant).route(hand));
+        self.call(ctx, |balancer, hand| balancer.begin(txn, scheme, expiry).with_tenant(tenant).route(hand));
     }
 }
 
@@ -234,7 +234,7 @@
 /// The application no longer waits.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct Left(pub TxnRef);
+pub struct Left(pub RequestId);
 impl Handler<Left> for Desk {
     type Result = ();
     fn handle(&mut self, left: Left, ctx: &mut Context<Desk>) {
@@ -243,8 +243,8 @@
         held.caller = None;
         self.hand.counters.add("left");
         self.call(ctx, |balancer, hand| {
-            if let Some(handle) = balancer.txn(txn) {
-                handle.left(hand);
+            if let Some(handle) = balancer.request(txn) {
+                handle.on_client_left(hand);
             }
         });
         self.hand.let_go(txn);
@@ -255,12 +255,12 @@
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct Returned {
-    pub txn: TxnRef,
+    pub txn: RequestId,
     pub posting: u32,
     pub backend: BackendId,
-    pub fate: Fate,
+    pub fate: AttemptOutcome,
     pub took: Micros,
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
     pub made: Option<Made>,
 }
 impl Handler<Returned> for Desk {
@@ -274,7 +274,7 @@
             held.out = None;
             held.may_have_run |= !fate.never_ran();
         }
-        if fate != Fate::Settled {
+        if fate != AttemptOutcome::Succeeded {
             if let Some(held) = held {
                 held.last = made;
             }
@@ -283,8 +283,8 @@
         }
         self.call(ctx, |balancer, hand| {
             heard(balancer, hand, backend, report);
-            if let Some(handle) = balancer.txn(txn) {
-                handle.returned(posting, fate, took, closed, hand);
+            if let Some(handle) = balancer.request(txn) {
+                handle.on_attempt_end(posting, fate, took, closed, hand);
             }
         });
         self.hand.let_go(txn);
@@ -306,15 +306,15 @@
 #[rtype(result = "()")]
 pub struct Probed {
     pub backend: BackendId,
-    pub fate: Fate,
-    pub report: Option<Report>,
+    pub fate: AttemptOutcome,
+    pub report: Option<LoadReport>,
 }
 impl Handler<Probed> for Desk {
     type Result = ();
     fn handle(&mut self, probed: Probed, ctx: &mut Context<Desk>) {
         self.call(ctx, |balancer, hand| {
             heard(balancer, hand, probed.backend, probed.report);
-            balancer.probed(probed.backend, probed.fate);
+            balancer.on_probe_result(probed.backend, probed.fate);
         });
     }
 }
--- a/crates/agent/src/memory/figures.rs
+++ b/crates/agent/src/memory/figures.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use notchspool::units::{BackendId, Micros, Standing};
+use notchspool::units::{BackendId, EndpointStatus, Micros};
 use notchspool_settings::own::comes_back;
 
 use super::list::Row;
@@ -87,9 +87,9 @@
 pub fn once(rows: Vec<Row>) -> (Vec<Row>, BTreeSet<String>) {
     let (mut kept, mut places, mut twice) = (Vec::<Row>::new(), BTreeMap::new(), BTreeSet::new());
     let rank = |standing| match standing {
-        Standing::Ready => 0,
-        Standing::Draining => 1,
-        Standing::Gone => 2,
+        EndpointStatus::Ready => 0,
+        EndpointStatus::Draining => 1,
+        EndpointStatus::Gone => 2,
     };
     for row in rows {
         match places.get(&row.name) {
@@ -99,8 +99,8 @@
             }
             Some(&at) => {
                 let first: &mut Row = &mut kept[at];
-                if rank(row.entry.standing) > rank(first.entry.standing) {
-                    first.entry.standing = row.entry.standing;
+                if rank(row.entry.status) > rank(first.entry.status) {
+                    first.entry.status = row.entry.status;
                 }
                 twice.insert(row.name);
             }
@@ -111,13 +111,13 @@
 
 #[cfg(test)]
 mod tests {
-    use notchspool::units::Entry;
+    use notchspool::units::ListEntry;
     use rstest::rstest;
 
     use super::*;
 
     fn row(size: f64, started: i64) -> Row {
-        let entry = Entry { size, started: Micros::ms(started), ..Entry::default() };
+        let entry = ListEntry { size, started: Micros::ms(started), ..ListEntry::default() };
         Row {
             name: "b".into(),
             at: SocketAddr::from(([127, 0, 0, 1], 9)),
--- a/crates/agent/src/memory/hand.rs
+++ b/crates/agent/src/memory/hand.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use actix::Recipient;
-use notchspool::units::{BackendId, Fate, Micros, Outlet, TxnRef};
+use notchspool::units::{AttemptOutcome, BackendId, Effects, Micros, RequestId};
 use notchspool_routes::budget::Budget;
 
 use super::counters::Counters;
@@ -12,7 +12,7 @@
 use super::txn::{Answer, Budgets, InHand, Made, Unserved};
 
 pub struct Hand {
-    pub txns: BTreeMap<TxnRef, InHand>,
+    pub txns: BTreeMap<RequestId, InHand>,
     pub peers: BTreeMap<BackendId, Peer>,
     pub registry: Option<Recipient<Watch>>,
     pub counters: Rc<Counters>,
@@ -20,14 +20,14 @@
     /// When the module wants to be woken, if it said so in the call just made.
     pub wake: Option<Micros>,
     /// Txns that the call just made left unserved: true, declined, and when to come back.
-    pub unserved: Vec<(TxnRef, bool, Option<Micros>)>,
+    pub unserved: Vec<(RequestId, bool, Option<Micros>)>,
     /// Postings that come back at once: no budget paid for them, or their body is spent.
-    pub unsent: Vec<(TxnRef, u32, BackendId, Fate)>,
+    pub unsent: Vec<(RequestId, u32, BackendId, AttemptOutcome)>,
 }
 
 impl Hand {
     /// Gives the final answer, once; what is then of no further use is let go.
-    pub fn answer(&mut self, txn: TxnRef, answer: Answer, name: &'static str) {
+    pub fn answer(&mut self, txn: RequestId, answer: Answer, name: &'static str) {
         let Some(held) = self.txns.get_mut(&txn) else { return };
         if let Some(caller) = held.caller.take() {
             self.counters.add(name);
@@ -48,7 +48,7 @@
             }
         }
     }
-    pub fn let_go(&mut self, txn: TxnRef) {
+    pub fn let_go(&mut self, txn: RequestId) {
         if self.txns.get(&txn).is_some_and(|held| held.caller.is_none() && held.out.is_none()) {
             self.txns.remove(&txn);
             // Of all pools together.
@@ -57,8 +57,8 @@
     }
 }
 
-impl Outlet for Hand {
-    fn post(&mut self, txn: TxnRef, to: BackendId, until: Micros) {
+impl Effects for Hand {
+    fn send(&mut self, txn: RequestId, to: BackendId, until: Micros) {
         let (Some(held), Some(peer)) = (self.txns.get_mut(&txn), self.peers.get(&to)) else { return };
         let posting = held.postings;
         held.postings += 1;
@@ -67,27 +67,27 @@
         let paid = |payer| self.budgets.borrow_mut().get_mut(&payer).is_some_and(Budget::repeat);
         if posting + held.earlier > 0 && held.payer.is_some_and(|payer| !paid(payer)) {
             self.counters.add("no_budget");
-            return self.unsent.push((txn, posting, to, Fate::NeverSent));
+            return self.unsent.push((txn, posting, to, AttemptOutcome::NotSent));
         }
         // What passed through once is here no more.
         if held.carried.rest.as_ref().is_some_and(Rest::is_taken) {
             self.counters.add("body_spent");
-            return self.unsent.push((txn, posting, to, Fate::Spent));
+            return self.unsent.push((txn, posting, to, AttemptOutcome::BodyConsumed));
         }
         self.counters.add("postings");
         log::debug!("txn {} to backend {}", txn.0, to.0);
         peer.do_send(ToPeer::Post { txn, posting, until, carried: held.carried.clone() });
     }
-    fn cancel(&mut self, txn: TxnRef, posting: u32) {
+    fn cancel(&mut self, txn: RequestId, posting: u32) {
         let to = self.txns.get(&txn).and_then(|held| held.out);
         if let Some(peer) = to.and_then(|to| self.peers.get(&to)) {
             peer.do_send(ToPeer::Cancel { txn, posting });
         }
     }
-    fn decline(&mut self, txn: TxnRef, away: Option<Micros>) {
+    fn reject(&mut self, txn: RequestId, away: Option<Micros>) {
         self.unserved.push((txn, true, away));
     }
-    fn reverse(&mut self, txn: TxnRef) {
+    fn fail(&mut self, txn: RequestId) {
         self.unserved.push((txn, false, None));
     }
     fn probe(&mut self, backend: BackendId) {
@@ -96,7 +96,7 @@
             peer.do_send(ToPeer::Probe);
         }
     }
-    fn trim(&mut self, backend: BackendId) {
+    fn close_idle(&mut self, backend: BackendId) {
         if let Some(peer) = self.peers.get(&backend) {
             peer.do_send(ToPeer::Trim);
         }
@@ -107,13 +107,13 @@
             registry.do_send(Watch);
         }
     }
-    fn wake_in(&mut self, span: Micros) {
+    fn wake_after(&mut self, span: Micros) {
         self.wake = Some(span);
     }
-    fn count(&mut self, what: &'static str) {
+    fn increment(&mut self, what: &'static str) {
         self.counters.add(what);
     }
-    fn note(&mut self, line: &str) {
+    fn log(&mut self, line: &str) {
         log::info!("module: {line}");
     }
 }
--- a/crates/agent/src/memory/learnt.rs
+++ b/crates/agent/src/memory/learnt.rs
@@ -2,8 +2,8 @@
 //! differ from process to process. Read defensively: what makes no sense is left out, and the whole where it is none of ours.
 use std::collections::BTreeMap;
 
-use notchspool::heir::{Known, Learnt};
-use notchspool::tally::Tally;
+use notchspool::histogram::Histogram;
+use notchspool::state_transfer::{LearnedBackend, LearnedState};
 use notchspool::units::{BackendId, Micros};
 use serde_json::{Map, Value, json};
 
@@ -32,28 +32,38 @@
 }
 
 /// `at`: when, Unix time in microseconds.
-pub fn written(learnt: &Learnt, names: &BTreeMap<BackendId, String>, shape: &Shape, at: Micros) -> String {
+pub fn written(
+    learnt: &LearnedState,
+    names: &BTreeMap<BackendId, String>,
+    shape: &Shape,
+    at: Micros,
+) -> String {
     let backends: Map<String, Value> = (learnt.backends.iter())
         .filter_map(|(id, known)| {
-            let cold: Vec<i64> = known.cold_sent.iter().map(|at| at.0).collect();
-            let told = json!({"started": known.started.0, "pace": known.pace, "doubt": known.doubt,
-                              "size": known.size, "flow": known.flow, "cold_sent": cold});
+            let cold: Vec<i64> = known.sent_while_warming.iter().map(|at| at.0).collect();
+            let told = json!({"started": known.started.0, "pace": known.relative_latency, "doubt": known.failure_score,
+                              "size": known.size, "flow": known.throughput, "cold_sent": cold});
             Some((names.get(id)?.clone(), told))
         })
         .collect();
-    let took: Map<String, Value> = (shape.schemes.iter().zip(&learnt.took))
-        .map(|((name, _), took)| (name.clone(), json!(took.parts())))
+    let took: Map<String, Value> = (shape.schemes.iter().zip(&learnt.latencies))
+        .map(|((name, _), took)| (name.clone(), json!(took.to_parts())))
         .collect();
-    json!({"form": FORM, "at": at.0, "shape": shape.told(), "keep": learnt.keep.0,
-           "window": learnt.window, "saved": learnt.saved, "stress": learnt.stress,
-           "rest": learnt.rest, "fails": learnt.fails, "held": learnt.held, "busy": learnt.busy,
-           "opening": learnt.opening, "took": took, "backends": backends})
+    json!({"form": FORM, "at": at.0, "shape": shape.told(), "keep": learnt.idle_trust.0,
+           "window": learnt.window, "saved": learnt.saved, "stress": learnt.pressure,
+           "rest": learnt.base_pressure, "fails": learnt.failure_rate, "held": learnt.in_flight_per_size, "busy": learnt.utilisation,
+           "opening": learnt.fast_start, "took": took, "backends": backends})
     .to_string()
 }
 
 /// None where it is no such text, or older than `since`. What was learnt of a fleet of another shape, or written by an
 /// older version, keeps only what means the same: response times by scheme, and what is known of each backend itself.
-pub fn read(text: &str, names: &BTreeMap<String, BackendId>, shape: &Shape, since: Micros) -> Option<Learnt> {
+pub fn read(
+    text: &str,
+    names: &BTreeMap<String, BackendId>,
+    shape: &Shape,
+    since: Micros,
+) -> Option<LearnedState> {
     let told: Value = serde_json::from_str(text).ok()?;
     let older = told["form"] == OLDER;
     if !older && told["form"] != FORM || told["at"].as_i64()? < since.0 {
@@ -65,35 +75,35 @@
     let figure = |name: &str, least, most| within(&told[name], least, most);
     let backends = told["backends"].as_object()?.iter().filter_map(|(name, told)| {
         let sent = told["cold_sent"].as_array()?.iter().take(COLD).filter_map(Value::as_i64);
-        let known = Known {
+        let known = LearnedBackend {
             started: Micros(told["started"].as_i64()?),
-            pace: within(&told["pace"], 0.0, 100.0)?,
-            doubt: within(&told["doubt"], 0.0, 1.0)?,
+            relative_latency: within(&told["pace"], 0.0, 100.0)?,
+            failure_score: within(&told["doubt"], 0.0, 1.0)?,
             size: within(&told["size"], 0.0, 1e6).unwrap_or(0.0),
-            flow: within(&told["flow"], 0.0, 1e9)?,
-            cold_sent: sent.map(Micros).collect(),
+            throughput: within(&told["flow"], 0.0, 1e9)?,
+            sent_while_warming: sent.map(Micros).collect(),
         };
         Some((*names.get(name)?, known))
     });
     let took = shape.schemes.iter().map(|(name, _)| match told["took"].get(name) {
-        None => Some(Tally::default()),
+        None => Some(Histogram::default()),
         Some(parts) => {
             let parts: Vec<f64> = parts.as_array()?.iter().filter_map(Value::as_f64).collect();
-            Tally::of(&parts)
+            Histogram::from_parts(&parts)
         }
     });
-    Some(Learnt {
-        same: !older && told["shape"] == shape.told(),
-        keep: Micros(told["keep"].as_i64().unwrap_or(0).max(0)),
+    Some(LearnedState {
+        same_shape: !older && told["shape"] == shape.told(),
+        idle_trust: Micros(told["keep"].as_i64().unwrap_or(0).max(0)),
         window: figure("window", 0.0, 1e6)?,
         saved: figure("saved", -1e3, 1e3)?,
-        stress: figure("stress", 0.0, 10.0)?,
-        rest: figure("rest", 0.0, 100.0)?,
-        fails: figure("fails", 0.0, 1.0)?,
-        held: figure("held", 0.0, 1e9)?,
-        busy: figure("busy", 0.0, 1.0)?,
-        opening: told["opening"].as_bool()?,
-        took: took.collect::<Option<_>>()?,
+        pressure: figure("stress", 0.0, 10.0)?,
+        base_pressure: figure("rest", 0.0, 100.0)?,
+        failure_rate: figure("fails", 0.0, 1.0)?,
+        in_flight_per_size: figure("held", 0.0, 1e9)?,
+        utilisation: figure("busy", 0.0, 1.0)?,
+        fast_start: told["opening"].as_bool()?,
+        latencies: took.collect::<Option<_>>()?,
         backends: backends.collect(),
     })
 }
@@ -102,27 +112,27 @@
 mod tests {
     use super::*;
 
-    fn some() -> (Learnt, BTreeMap<BackendId, String>) {
-        let mut took = Tally::default();
+    fn some() -> (LearnedState, BTreeMap<BackendId, String>) {
+        let mut took = Histogram::default();
         (0..300).for_each(|n| took.add(1_000 * n));
-        let known = Known {
+        let known = LearnedBackend {
             started: Micros(7),
-            pace: 1.5,
-            doubt: 0.25,
+            relative_latency: 1.5,
+            failure_score: 0.25,
             size: 2.0,
-            flow: 9.0,
-            cold_sent: vec![Micros(8)],
+            throughput: 9.0,
+            sent_while_warming: vec![Micros(8)],
         };
-        let learnt = Learnt {
-            same: true,
-            keep: Micros::ms(300),
+        let learnt = LearnedState {
+            same_shape: true,
+            idle_trust: Micros::ms(300),
             window: 12.5,
             saved: -0.5,
-            stress: 0.1,
-            busy: 0.7,
-            took: vec![took, Tally::default()],
+            pressure: 0.1,
+            utilisation: 0.7,
+            latencies: vec![took, Histogram::default()],
             backends: vec![(BackendId(3), known)],
-            ..Learnt::default()
+            ..LearnedState::default()
         };
         (learnt, BTreeMap::from([(BackendId(3), "s-3".to_owned())]))
     }
@@ -141,11 +151,11 @@
         let schemes = vec![("order".to_owned(), Micros::ms(300)), ("quote".to_owned(), Micros::ms(600))];
         let moved = Shape { agents: 400, live: true, schemes };
         let read = read(&text, &numbers, &moved, Micros(0)).expect("it is ours");
-        assert!(!read.same);
-        assert_eq!(read.took[0], Tally::default(), "nothing was known of that scheme");
-        assert_eq!(read.took[1].quantile(0.5), learnt.took[0].quantile(0.5));
+        assert!(!read.same_shape);
+        assert_eq!(read.latencies[0], Histogram::default(), "nothing was known of that scheme");
+        assert_eq!(read.latencies[1].quantile(0.5), learnt.latencies[0].quantile(0.5));
         assert_eq!(read.backends[0].1, learnt.backends[0].1);
-        assert_eq!(read.keep, learnt.keep);
+        assert_eq!(read.idle_trust, learnt.idle_trust);
     }
 
     #[test]
@@ -155,10 +165,10 @@
             "backends":{"s-3":{"started":7,"pace":1.5,"doubt":0.25,"flow":9.0,"cold_sent":[8]}}}"#;
         let numbers = BTreeMap::from([("s-3".to_owned(), BackendId(0))]);
         let read = read(text, &numbers, &shape(), Micros(50)).expect("an older form is read");
-        assert!(!read.same && read.took.iter().all(|took| *took == Tally::default()));
+        assert!(!read.same_shape && read.latencies.iter().all(|took| *took == Histogram::default()));
         let known = &read.backends[0].1;
         assert_eq!(
-            (known.pace, known.doubt, known.size, &known.cold_sent),
+            (known.relative_latency, known.failure_score, known.size, &known.sent_while_warming),
             (1.5, 0.25, 0.0, &vec![Micros(8)])
         );
     }
@@ -172,8 +182,8 @@
         assert_eq!(read.backends[0].0, BackendId(0));
         read.backends[0].0 = BackendId(3);
         // A halved tally keeps its count apart from its bins: the sum of them is as good.
-        assert_eq!(read.took[0].quantile(0.5), learnt.took[0].quantile(0.5));
-        read.took = learnt.took.clone();
+        assert_eq!(read.latencies[0].quantile(0.5), learnt.latencies[0].quantile(0.5));
+        read.latencies = learnt.latencies.clone();
         assert_eq!(read, learnt);
     }
 
--- a/crates/agent/src/memory/list.rs
+++ b/crates/agent/src/memory/list.rs
@@ -30,7 +30,7 @@
     peers: Vec<(SocketAddr, Peer)>,
     versions: Versions,
     garbled: bool,
-    staged: Vec<Entry>,
+    staged: Vec<ListEntry>,
     /// Whom the line that is being read names.
     named: BTreeSet<BackendId>,
     figures: Figures,
@@ -106,7 +106,7 @@
             self.wrong(&why);
         }
         let Row { name, at, zone, model, mut entry } = row;
-        log::debug!("list: {name} {:?} from {} at {at}", entry.standing, entry.started.0 / 1000);
+        log::debug!("list: {name} {:?} from {} at {at}", entry.status, entry.started.0 / 1000);
         entry.zone = numbered(&mut self.zones, &zone, id);
         entry.model = ModelId(numbered(&mut self.models, &model, id).0);
         entry.backend = id;
@@ -139,9 +139,9 @@
         }
         self.bans.held().for_each(|id| self.ids.here(id));
         for entry in &self.staged {
-            match entry.standing {
-                Standing::Gone => self.ids.gone(entry.backend, now),
-                Standing::Ready | Standing::Draining => self.ids.here(entry.backend),
+            match entry.status {
+                EndpointStatus::Gone => self.ids.gone(entry.backend, now),
+                EndpointStatus::Ready | EndpointStatus::Draining => self.ids.here(entry.backend),
             }
         }
         if whole {
@@ -188,7 +188,7 @@
         log::warn!(
             "list: revision {revision} is older than what is known, and changes nothing but for drains"
         );
-        for mut row in rows.into_iter().filter(|row| row.entry.standing != Standing::Ready) {
+        for mut row in rows.into_iter().filter(|row| row.entry.status != EndpointStatus::Ready) {
             if let Some((at, _)) = self.ids.known(&row.name).and_then(|id| self.peers.get(id.0 as usize)) {
                 row.at = *at;
                 self.entry(row);
@@ -240,7 +240,7 @@
     pub zone: String,
     /// Its machine type: backends of one type are of one size.
     pub model: String,
-    pub entry: Entry,
+    pub entry: ListEntry,
 }
 
 /// A list, or what changed of one, read whole.
@@ -379,7 +379,7 @@
         for name in &changed.off {
             log::info!("backend {name} is back by hand");
             let told = self.ids.known(name).and_then(|id| self.bans.end(id));
-            if let Some(gone) = told.as_ref().filter(|entry| entry.standing == Standing::Gone) {
+            if let Some(gone) = told.as_ref().filter(|entry| entry.status == EndpointStatus::Gone) {
                 self.ids.gone(gone.backend, self.clock.now());
             }
             self.staged.extend(told);
--- a/crates/agent/src/memory/mail.rs
+++ b/crates/agent/src/memory/mail.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use actix::{Message, Recipient};
-use notchspool::units::{BackendId, Micros, TxnRef};
+use notchspool::units::{BackendId, Micros, RequestId};
 
 use super::txn::Carried;
 
@@ -12,9 +12,9 @@
 #[rtype(result = "()")]
 pub enum ToPeer {
     /// Send a txn; the posting ends by `until` at the latest.
-    Post { txn: TxnRef, posting: u32, until: Micros, carried: Arc<Carried> },
+    Post { txn: RequestId, posting: u32, until: Micros, carried: Arc<Carried> },
     /// Give a posting up: its connection closes.
-    Cancel { txn: TxnRef, posting: u32 },
+    Cancel { txn: RequestId, posting: u32 },
     /// Ask for health and load.
     Probe,
     /// Room is short: let idle connections go if nothing is out.
--- a/crates/agent/src/wire/application.rs
+++ b/crates/agent/src/wire/application.rs
@@ -14,7 +14,7 @@
 use awc::http::header::{CONTENT_TYPE, HeaderName, HeaderValue, RETRY_AFTER};
 use bytes::{Bytes, BytesMut};
 use futures_util::{Stream, StreamExt};
-use notchspool::units::{Kind, Micros, SchemeId, TenantId, TxnRef};
+use notchspool::units::{ClassId, Micros, RequestId, RequestKind, TenantId};
 use tokio::sync::oneshot;
 
 use super::caller::{Asked, Call, Letting};
@@ -105,7 +105,7 @@
 pub struct Front {
     pub porch: Rc<Porch>,
     pub desk: Addr<Desk>,
-    pub schemes: Vec<(String, Kind)>,
+    pub schemes: Vec<(String, RequestKind)>,
     /// Customers that have a share, by their names in `X-Customer`.
     pub tenants: Vec<String>,
     /// What a decline of this front says; none where clients are not to be told.
@@ -121,7 +121,7 @@
 /// Tells the desk when the application stops waiting: dropped before the answer came, it has left.
 struct Waiting<'a> {
     front: &'a Front,
-    txn: TxnRef,
+    txn: RequestId,
     trace: HeaderValue,
     answered: bool,
 }
@@ -173,9 +173,9 @@
         }
         let scheme = request.path().split('/').nth(1).unwrap_or("");
         let scheme = self.schemes.iter().position(|s| s.0 == scheme);
-        let scheme = SchemeId(scheme.ok_or((StatusCode::NOT_FOUND, "no scheme of that name"))?);
+        let scheme = ClassId(scheme.ok_or((StatusCode::NOT_FOUND, "no scheme of that name"))?);
         let kind = self.schemes[scheme.0].1;
-        if (head.method == Method::GET) != (kind == Kind::Repeatable) {
+        if (head.method == Method::GET) != (kind == RequestKind::Idempotent) {
             return Err((StatusCode::METHOD_NOT_ALLOWED, "not the method of that scheme"));
         }
         let customer = head.headers().get("x-customer").and_then(|v| v.to_str().ok());
@@ -187,7 +187,7 @@
         let trace = trace.ok_or(bad("no X-Trace-Id"))?;
         let path = head.uri.path_and_query().cloned().ok_or(bad("no path"))?;
         let reference = head.headers().get("idempotency-key").cloned();
-        if kind == Kind::Referenced && reference.as_ref().is_none_or(HeaderValue::is_empty) {
+        if kind == RequestKind::Keyed && reference.as_ref().is_none_or(HeaderValue::is_empty) {
             return Err(bad("no Idempotency-Key"));
         }
         let form = head.headers().get(CONTENT_TYPE).cloned();
@@ -230,7 +230,7 @@
             expiry = expiry + PASSES_WITHIN;
             carried.rest = Some(Rest::new(flow, length, span(expires)));
         }
-        let txn = TxnRef(self.next.get());
+        let txn = RequestId(self.next.get());
         self.next.set(txn.0 + 1);
         let (caller, answer) = oneshot::channel();
         let mut waiting = Waiting { front: self, txn, trace, answered: false };
--- a/crates/agent/src/wire/backend.rs
+++ b/crates/agent/src/wire/backend.rs
@@ -49,7 +49,7 @@
     past: Rc<Past>,
     desk: Addr<Desk>,
     ground: Rc<Ground>,
-    out: BTreeMap<(TxnRef, u32), (SpawnHandle, Micros)>,
+    out: BTreeMap<(RequestId, u32), (SpawnHandle, Micros)>,
     used: Micros,
     /// There may be idle connections.
     held: bool,
@@ -68,9 +68,9 @@
         self.held = false;
         self.client = self.ground.client(Some(self.ground.bounds.clone()), self.past.clone());
     }
-    fn returned(&mut self, txn: TxnRef, posting: u32, outcome: Outcome, took: Option<Duration>) {
+    fn returned(&mut self, txn: RequestId, posting: u32, outcome: Outcome, took: Option<Duration>) {
         let Some((_, sent)) = self.out.remove(&(txn, posting)) else { return };
-        if outcome.fate == Fate::NeverSent {
+        if outcome.fate == AttemptOutcome::NotSent {
             self.ground.counters.add("no_room_for_links");
             log::warn!("backend {}: no connection left of {}", self.at, self.ground.bounds.now().links);
             self.desk.do_send(NoRoom);
@@ -78,7 +78,7 @@
         let took = took.map_or(self.ground.clock.now() - sent, |took| Micros(took.as_micros() as i64));
         self.tell(txn, posting, took, outcome);
     }
-    fn tell(&self, txn: TxnRef, posting: u32, took: Micros, outcome: Outcome) {
+    fn tell(&self, txn: RequestId, posting: u32, took: Micros, outcome: Outcome) {
         let (backend, Outcome { fate, report, made }) = (self.id, outcome);
         self.desk.do_send(Returned { txn, posting, backend, fate, took, report, made });
     }
@@ -112,7 +112,7 @@
             ToPeer::Cancel { txn, posting } => {
                 if let Some((handle, _)) = self.out.get(&(txn, posting)) {
                     ctx.cancel_future(*handle);
-                    self.returned(txn, posting, Outcome::only(Fate::Withdrawn), None);
+                    self.returned(txn, posting, Outcome::only(AttemptOutcome::Cancelled), None);
                 }
             }
             ToPeer::Probe => self.probe(ctx),
@@ -122,7 +122,7 @@
             ToPeer::Retire => {
                 // Its postings end with it: a txn that hears of none would never be answered.
                 for (txn, posting) in self.out.keys().copied().collect::<Vec<_>>() {
-                    self.returned(txn, posting, Outcome::only(Fate::Broken), None);
+                    self.returned(txn, posting, Outcome::only(AttemptOutcome::ConnectionLost), None);
                 }
                 ctx.stop();
             }
@@ -138,7 +138,7 @@
 impl Peer {
     fn post(
         &mut self,
-        txn: TxnRef,
+        txn: RequestId,
         posting: u32,
         until: Micros,
         carried: Arc<Carried>,
@@ -147,7 +147,7 @@
         if self.out.len() >= self.ground.bounds.now().links_each {
             self.ground.counters.add("no_room_at_backend");
             log::warn!("backend {}: {} postings are out, no more", self.at, self.out.len());
-            return self.tell(txn, posting, Micros(0), Outcome::only(Fate::NeverSent));
+            return self.tell(txn, posting, Micros(0), Outcome::only(AttemptOutcome::NotSent));
         }
         let within = self.ground.clock.until(until);
         (self.used, self.held) = (self.ground.clock.now(), true);
--- a/crates/agent/src/wire/caller.rs
+++ b/crates/agent/src/wire/caller.rs
@@ -173,7 +173,7 @@
         open.sort_by_key(|call| call.since.get());
         let most = self.at_first.get().unwrap_or(open.len()).max(open.len());
         self.at_first.set(Some(most));
-        let left = 1.0 - (since - first).over(last - first).clamp(0.0, 1.0);
+        let left = 1.0 - (since - first).ratio_to(last - first).clamp(0.0, 1.0);
         let keep = (most as f64 * left).floor() as usize;
         open.iter().take(open.len().saturating_sub(keep)).for_each(|call| call.end("CALL_SENT_AWAY"));
     }
--- a/crates/agent/src/wire/door.rs
+++ b/crates/agent/src/wire/door.rs
@@ -10,7 +10,7 @@
 use awc::http::header::{HOST, HeaderMap, HeaderName, HeaderValue, RETRY_AFTER};
 use awc::http::uri::PathAndQuery;
 use bytes::Bytes;
-use notchspool::units::{Kind, Micros, TenantId, TxnRef};
+use notchspool::units::{Micros, RequestId, RequestKind, TenantId};
 use notchspool_routes::backup;
 use notchspool_routes::share::pool_of;
 use notchspool_routes::table::Asked as Question;
@@ -70,7 +70,7 @@
 /// Tells the pool that the client stopped waiting, if it goes before its answer.
 struct Waiting<'a> {
     pool: &'a Pool,
-    txn: TxnRef,
+    txn: RequestId,
     answered: bool,
 }
 impl Drop for Waiting<'_> {
@@ -239,7 +239,7 @@
         carried: &Arc<Carried>,
         earlier: u32,
     ) -> Answer {
-        let txn = TxnRef(self.next.get());
+        let txn = RequestId(self.next.get());
         self.next.set(txn.0 + 1);
         let (caller, answer) = oneshot::channel();
         let mut waiting = Waiting { pool, txn, answered: false };
@@ -298,7 +298,7 @@
 
 fn carried(route: &Route, asking: Asking) -> Result<Carried, Refused> {
     let all = &asking.headers;
-    if route.kind == Kind::Referenced {
+    if route.kind == RequestKind::Keyed {
         let carried = route.reference.as_ref().and_then(|name| all.get(name));
         if carried.is_none_or(HeaderValue::is_empty) {
             let name = route.reference.as_ref().map_or("", |name| name.as_str());
--- a/crates/agent/src/wire/fcgi/link.rs
+++ b/crates/agent/src/wire/fcgi/link.rs
@@ -8,7 +8,7 @@
 
 use actix_rt::net::TcpStream;
 use bytes::{Buf, Bytes, BytesMut};
-use notchspool::units::Fate;
+use notchspool::units::AttemptOutcome;
 use notchspool_fastcgi::ask::{Answer, Asked, Asker, Bounds, Event, abort, get_values};
 use notchspool_fastcgi::record::{Ended, Id};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -25,7 +25,7 @@
 pub enum Heard {
     Answer(Answer),
     /// The connection ended, or what came on it can't be read.
-    Gone(Fate),
+    Gone(AttemptOutcome),
 }
 
 struct Waiter {
@@ -186,7 +186,11 @@
         log::info!("link to {} ended: {code}{why}", self.to);
         for (_, waiter) in std::mem::take(&mut *self.waiters.borrow_mut()) {
             // Before the last byte of its params was written no server can have begun.
-            let fate = if waiter.written >= waiter.begins { Fate::Broken } else { Fate::NoLink };
+            let fate = if waiter.written >= waiter.begins {
+                AttemptOutcome::ConnectionLost
+            } else {
+                AttemptOutcome::ConnectFailed
+            };
             if let Some(tell) = waiter.tell {
                 let _ = tell.send(Heard::Gone(fate));
             }
--- a/crates/agent/src/wire/fcgi/peer.rs
+++ b/crates/agent/src/wire/fcgi/peer.rs
@@ -43,7 +43,7 @@
     id: BackendId,
     links: Rc<Links>,
     desk: Addr<Desk>,
-    out: BTreeMap<(TxnRef, u32), (SpawnHandle, Micros)>,
+    out: BTreeMap<(RequestId, u32), (SpawnHandle, Micros)>,
     gone: bool,
 }
 
@@ -62,7 +62,7 @@
 
 impl Links {
     /// A connection with room for one more request: the one used last first, so that surplus ones fall idle.
-    async fn one(&self) -> Result<Rc<Link>, Fate> {
+    async fn one(&self) -> Result<Rc<Link>, AttemptOutcome> {
         let now = self.ground.clock.now();
         let found = {
             let mut all = self.all.borrow_mut();
@@ -78,7 +78,7 @@
             return Ok(link);
         }
         if self.ground.counters.links.get() >= self.ground.bounds.now().links {
-            return Err(Fate::NeverSent);
+            return Err(AttemptOutcome::NotSent);
         }
         let at = self.at.get();
         let up = actix_rt::time::timeout(self.ground.connect_within, posting::connect(at)).await;
@@ -86,11 +86,11 @@
             Ok(Ok(io)) => io,
             Ok(Err(why)) => {
                 log::info!("link to {at} ended: LINK_REFUSED ({why})");
-                return Err(Fate::NoLink);
+                return Err(AttemptOutcome::ConnectFailed);
             }
             Err(_) => {
                 log::info!("link to {at} ended: LINK_NEVER_UP");
-                return Err(Fate::NoLink);
+                return Err(AttemptOutcome::ConnectFailed);
             }
         };
         let (at_once, first) = match &mut *self.at_once.borrow_mut() {
@@ -153,17 +153,17 @@
                 return match heard {
                     Ok(Heard::Answer(answer)) => outcome(answer, carried.reading, links.at.get()),
                     Ok(Heard::Gone(fate)) => Outcome::only(fate),
-                    Err(_) => Outcome::only(Fate::Broken),
+                    Err(_) => Outcome::only(AttemptOutcome::ConnectionLost),
                 };
             }
             // One that has begun and then stands still never comes whole.
             Err(_) if before > 0 && before == posted.link.heard_of(id) && left > stall => {
                 log::warn!("backend {}: an answer that stands still after {before} bytes", links.at.get());
-                return Outcome::only(Fate::Broken);
+                return Outcome::only(AttemptOutcome::ConnectionLost);
             }
             Err(_) if Instant::now() < end => {}
-            Err(_) if posted.link.may_have_begun(id) => return Outcome::only(Fate::TimedOut),
-            Err(_) => return Outcome::only(Fate::NoLink),
+            Err(_) if posted.link.may_have_begun(id) => return Outcome::only(AttemptOutcome::TimedOut),
+            Err(_) => return Outcome::only(AttemptOutcome::ConnectFailed),
         }
     }
 }
@@ -176,13 +176,13 @@
     }
     let broken = |why: &str| {
         log::warn!("backend {at}: {why}");
-        Outcome::only(Fate::Broken)
+        Outcome::only(AttemptOutcome::ConnectionLost)
     };
     match answer.ended {
         Ended::Complete => {}
         // The protocol's own words for what was not begun.
         Ended::CantMultiplex | Ended::Overloaded | Ended::UnknownRole => {
-            return Outcome::only(Fate::TurnedAway);
+            return Outcome::only(AttemptOutcome::Rejected);
         }
         Ended::Other(_) => return broken("an end of no known kind"),
     }
@@ -199,14 +199,14 @@
     let Ok(status) = StatusCode::from_u16(head.status) else { return broken("a status that is none") };
     let report = posting::report(&headers);
     let mut fate = posting::fate(status, &headers, reading);
-    if answer.app_status != 0 && fate == Fate::Settled {
+    if answer.app_status != 0 && fate == AttemptOutcome::Succeeded {
         log::warn!("backend {at}: app status {}", answer.app_status);
-        fate = Fate::Errored;
+        fate = AttemptOutcome::Failed;
     }
     if body.len() > crate::base::bounds::BODY {
         return broken("an answer over 64 KiB");
     }
-    let made = (fate == Fate::Settled || reading == Reading::Plain).then(|| Made {
+    let made = (fate == AttemptOutcome::Succeeded || reading == Reading::Plain).then(|| Made {
         more: None,
         status,
         headers: posting::handed_on(&headers, reading),
@@ -215,7 +215,7 @@
     Outcome { fate, report, made }
 }
 
-async fn probe(links: Rc<Links>) -> (Fate, Option<Report>) {
+async fn probe(links: Rc<Links>) -> (AttemptOutcome, Option<LoadReport>) {
     let asked = async {
         let link = match links.one().await {
             Ok(link) => link,
@@ -230,13 +230,13 @@
             Ok(Heard::Answer(answer)) => {
                 let line =
                     cgi::answer(&answer.stdout).and_then(|(_, body)| String::from_utf8(body.to_vec()).ok());
-                (Fate::Settled, line.as_deref().and_then(report_line))
+                (AttemptOutcome::Succeeded, line.as_deref().and_then(report_line))
             }
             Ok(Heard::Gone(fate)) => (fate, None),
-            Err(_) => (Fate::Broken, None),
+            Err(_) => (AttemptOutcome::ConnectionLost, None),
         }
     };
-    actix_rt::time::timeout(PROBE, asked).await.unwrap_or((Fate::TimedOut, None))
+    actix_rt::time::timeout(PROBE, asked).await.unwrap_or((AttemptOutcome::TimedOut, None))
 }
 
 impl Actor for Peer {
@@ -253,13 +253,13 @@
 }
 
 impl Peer {
-    fn tell(&self, txn: TxnRef, posting: u32, took: Micros, outcome: Outcome) {
+    fn tell(&self, txn: RequestId, posting: u32, took: Micros, outcome: Outcome) {
         let (backend, Outcome { fate, report, made }) = (self.id, outcome);
         self.desk.do_send(Returned { txn, posting, backend, fate, took, report, made });
     }
-    fn returned(&mut self, txn: TxnRef, posting: u32, outcome: Outcome) {
+    fn returned(&mut self, txn: RequestId, posting: u32, outcome: Outcome) {
         let Some((_, sent)) = self.out.remove(&(txn, posting)) else { return };
-        if outcome.fate == Fate::NeverSent {
+        if outcome.fate == AttemptOutcome::NotSent {
             self.links.ground.counters.add("no_room_for_links");
             self.desk.do_send(NoRoom);
         }
@@ -275,7 +275,7 @@
             ToPeer::Post { txn, posting, until, carried } => {
                 if self.out.len() >= ground.bounds.now().links_each {
                     ground.counters.add("no_room_at_backend");
-                    return self.tell(txn, posting, Micros(0), Outcome::only(Fate::NeverSent));
+                    return self.tell(txn, posting, Micros(0), Outcome::only(AttemptOutcome::NotSent));
                 }
                 let sent = post(self.links.clone(), carried, ground.clock.until(until))
                     .into_actor(self)
@@ -285,7 +285,7 @@
             ToPeer::Cancel { txn, posting } => {
                 if let Some((handle, _)) = self.out.get(&(txn, posting)) {
                     ctx.cancel_future(*handle);
-                    self.returned(txn, posting, Outcome::only(Fate::Withdrawn));
+                    self.returned(txn, posting, Outcome::only(AttemptOutcome::Cancelled));
                 }
             }
             ToPeer::Probe => {
@@ -299,7 +299,7 @@
             ToPeer::Gone(gone) => self.gone = gone,
             ToPeer::Retire => {
                 for (txn, posting) in self.out.keys().copied().collect::<Vec<_>>() {
-                    self.returned(txn, posting, Outcome::only(Fate::Broken));
+                    self.returned(txn, posting, Outcome::only(AttemptOutcome::ConnectionLost));
                 }
                 ctx.stop();
             }
--- a/crates/agent/src/wire/listing.rs
+++ b/crates/agent/src/wire/listing.rs
@@ -39,17 +39,17 @@
         let at: SocketAddr = text(row, "host_port")?
             .parse()
             .map_err(|_| format!("{name}: field `host_port` is no address and port"))?;
-        let entry = Entry {
+        let entry = ListEntry {
             cell: CellId(row["cell"].as_i64().unwrap_or(0)),
-            standing: match text(row, "phase").map_err(of)? {
-                "in_service" => Standing::Ready,
-                "terminating" => Standing::Draining,
-                "terminated" => Standing::Gone,
+            status: match text(row, "phase").map_err(of)? {
+                "in_service" => EndpointStatus::Ready,
+                "terminating" => EndpointStatus::Draining,
+                "terminated" => EndpointStatus::Gone,
                 other => return Err(format!("{name}: field `phase`: `{other}` is not known")),
             },
             started: time(row, "up_since_ms", Some(0.0)).map_err(of)?,
             size: number(row, "size", Some(1.0)).map_err(of)?,
-            ..Entry::default()
+            ..ListEntry::default()
         };
         let zone = row["locality"].as_str().unwrap_or("").to_owned();
         let model = row["flavor"].as_str().unwrap_or("").to_owned();
--- a/crates/agent/src/wire/posting.rs
+++ b/crates/agent/src/wire/posting.rs
@@ -18,7 +18,7 @@
 use awc::{Client, Connector};
 use bytes::{Bytes, BytesMut};
 use futures_util::{Stream, StreamExt};
-use notchspool::units::{Fate, Report};
+use notchspool::units::{AttemptOutcome, LoadReport};
 use notchspool_settings::report_line;
 
 use super::link::{Link, MARK, Mark, Past};
@@ -80,13 +80,13 @@
 }
 
 pub struct Outcome {
-    pub fate: Fate,
-    pub report: Option<Report>,
+    pub fate: AttemptOutcome,
+    pub report: Option<LoadReport>,
     pub made: Option<Made>,
 }
 
 impl Outcome {
-    pub fn only(fate: Fate) -> Outcome {
+    pub fn only(fate: AttemptOutcome) -> Outcome {
         Outcome { fate, report: None, made: None }
     }
 }
@@ -128,18 +128,22 @@
             Ok(outcome) => return outcome,
             Err(_) if before > 0 && before == mark.came() && left > stall => {
                 log::warn!("backend {at}: an answer that stands still after {before} bytes");
-                return Outcome::only(Fate::Broken);
+                return Outcome::only(AttemptOutcome::ConnectionLost);
             }
             Err(_) if rest.is_some() && !mark.whole() && mark.written() == moved.0 => {
                 if moved.1.elapsed() > UNTAKEN {
                     log::warn!("backend {at}: it takes no more after {} bytes", moved.0);
-                    return Outcome::only(Fate::NoLink);
+                    return Outcome::only(AttemptOutcome::ConnectFailed);
                 }
             }
             Err(_) => moved = (mark.written(), Instant::now()),
         }
         if Instant::now() >= end() {
-            return Outcome::only(if mark.whole() { Fate::TimedOut } else { Fate::NoLink });
+            return Outcome::only(if mark.whole() {
+                AttemptOutcome::TimedOut
+            } else {
+                AttemptOutcome::ConnectFailed
+            });
         }
     }
 }
@@ -195,7 +199,7 @@
     counters: Rc<Counters>,
 ) -> Outcome {
     let uri = Uri::builder().scheme("http").authority(at.to_string()).path_and_query(carried.path.clone());
-    let Ok(uri) = uri.build() else { return Outcome::only(Fate::NeverSent) };
+    let Ok(uri) = uri.build() else { return Outcome::only(AttemptOutcome::NotSent) };
     let mut request = client.request(carried.method.clone(), uri).no_decompress();
     for (name, value) in &carried.headers {
         request = request.append_header((name.clone(), value.clone()));
@@ -216,7 +220,7 @@
     };
     let mut answer = match sent.await {
         Ok(answer) => answer,
-        Err(_) if mark.cut.get() => return Outcome::only(Fate::Withdrawn),
+        Err(_) if mark.cut.get() => return Outcome::only(AttemptOutcome::Cancelled),
         Err(why) => return broke(&why, mark.whole()),
     };
     let report = report(answer.headers());
@@ -230,7 +234,7 @@
     let whole = move |n: usize, mark: &Mark| {
         length.is_none_or(|length| length == n) && !(chunked && mark.ended.get())
     };
-    let settled = fate == Fate::Settled;
+    let settled = fate == AttemptOutcome::Succeeded;
     let mut body = BytesMut::new();
     let large = loop {
         if length.is_some_and(|length| length > BODY) || body.len() > BODY {
@@ -249,7 +253,10 @@
     };
     if !large || !carried.flows || length.is_some_and(|length| length > LARGEST) {
         log::warn!("backend {at}: an answer that stops short or is too large");
-        return Outcome { report, ..Outcome::only(if settled { Fate::Broken } else { fate }) };
+        return Outcome {
+            report,
+            ..Outcome::only(if settled { AttemptOutcome::ConnectionLost } else { fate })
+        };
     }
     if !settled {
         return Outcome { report, ..Outcome::only(fate) };
@@ -356,40 +363,44 @@
     known.contains(&name.as_str()) || all.get_all("connection").any(named)
 }
 
-pub fn fate(status: StatusCode, headers: &HeaderMap, reading: Reading) -> Fate {
+pub fn fate(status: StatusCode, headers: &HeaderMap, reading: Reading) -> AttemptOutcome {
     let never_ran = headers.get("x-never-ran").is_some_and(|v| v.as_bytes() == b"1");
     match status.as_u16() {
-        200 => Fate::Settled,
-        503 | 504 if never_ran => Fate::TurnedAway,
-        408 | 429 => Fate::Errored,
-        _ if reading == Reading::Plain && status.as_u16() < 500 => Fate::Settled,
-        400..=499 => Fate::Unusable,
-        _ => Fate::Errored,
+        200 => AttemptOutcome::Succeeded,
+        503 | 504 if never_ran => AttemptOutcome::Rejected,
+        408 | 429 => AttemptOutcome::Failed,
+        _ if reading == Reading::Plain && status.as_u16() < 500 => AttemptOutcome::Succeeded,
+        400..=499 => AttemptOutcome::Unusable,
+        _ => AttemptOutcome::Failed,
     }
 }
 
-pub fn report(headers: &HeaderMap) -> Option<Report> {
+pub fn report(headers: &HeaderMap) -> Option<LoadReport> {
     headers.get("endpoint-load-metrics").and_then(|line| report_line(line.to_str().ok()?))
 }
 
 /// A break before the last byte was written never ran; after it, it may have.
 fn broke(why: &SendRequestError, whole: bool) -> Outcome {
     Outcome::only(match why {
-        SendRequestError::Connect(ConnectError::Io(e)) if e.to_string() == NO_ROOM => Fate::NeverSent,
-        _ if whole => Fate::Broken,
-        _ => Fate::NoLink,
+        SendRequestError::Connect(ConnectError::Io(e)) if e.to_string() == NO_ROOM => AttemptOutcome::NotSent,
+        _ if whole => AttemptOutcome::ConnectionLost,
+        _ => AttemptOutcome::ConnectFailed,
     })
 }
 
 /// Asks a backend for its health and load.
-pub async fn probe(client: Client, at: SocketAddr, within: Duration) -> (Fate, Option<Report>) {
+pub async fn probe(client: Client, at: SocketAddr, within: Duration) -> (AttemptOutcome, Option<LoadReport>) {
     let mark = Mark::new(Some(0), false);
     let asked = async {
         let mut answer = match client.get(format!("http://{at}/load")).no_decompress().send().await {
             Ok(answer) => answer,
             Err(why) => return (broke(&why, mark.whole()).fate, None),
         };
-        let fate = if answer.status() == StatusCode::OK { Fate::Settled } else { Fate::Errored };
+        let fate = if answer.status() == StatusCode::OK {
+            AttemptOutcome::Succeeded
+        } else {
+            AttemptOutcome::Failed
+        };
         let (by_header, length) = (report(answer.headers()), length(answer.headers()));
         let chunked = answer.headers().contains_key("transfer-encoding");
         let body = answer.body().limit(BODY).await;
@@ -399,8 +410,10 @@
                 let line = std::str::from_utf8(&body).ok();
                 (fate, line.and_then(report_line).or(by_header))
             }
-            Err(_) => (Fate::Broken, by_header),
+            Err(_) => (AttemptOutcome::ConnectionLost, by_header),
         }
     };
-    actix_rt::time::timeout(within, MARK.scope(mark.clone(), asked)).await.unwrap_or((Fate::TimedOut, None))
+    actix_rt::time::timeout(within, MARK.scope(mark.clone(), asked))
+        .await
+        .unwrap_or((AttemptOutcome::TimedOut, None))
 }
--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab.rs
@@ -125,7 +125,7 @@
     println!("texts refused {}", figures.refused);
     for back in &figures.returns {
         let away = back.away.map_or("with an empty disk".into(), |n| format!("after {n} changes"));
-        let (ms, start) = (back.caught_up.over(Micros::ms(1)), back.start.as_secs_f64() * 1e3);
+        let (ms, start) = (back.caught_up.ratio_to(Micros::ms(1)), back.start.as_secs_f64() * 1e3);
         println!(
             "back {away}: opens in {start:.1} ms, votes with the newest after {ms:.0} ms, is sent {} bytes",
             back.bytes
--- a/crates/cli/src/service.rs
+++ b/crates/cli/src/service.rs
@@ -117,7 +117,7 @@
         route.name,
         scheme.name,
         scheme.scheme.kind,
-        ms(scheme.scheme.sla),
+        ms(scheme.scheme.latency_target),
         ms(route.expiry),
         pools.join("\n"),
         route.multiple
--- a/crates/data-plane/src/admission.rs
+++ b/crates/data-plane/src/admission.rs
@@ -115,7 +115,7 @@
     }
 
     fn update_utilisation(&mut self, now: Micros) {
-        let kept = (-(now - self.updated_at).over(UTILISATION_SPAN)).exp();
+        let kept = (-(now - self.updated_at).ratio_to(UTILISATION_SPAN)).exp();
         let load = (self.in_flight + self.queue.len()) as f64 / self.slots as f64;
         self.utilisation = self.utilisation * kept + load * (1.0 - kept);
         self.updated_at = now;
--- a/crates/data-plane/src/outbound.rs
+++ b/crates/data-plane/src/outbound.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::Incoming;
-use notchspool::units::{BackendId, Fate, Micros, TxnRef};
+use notchspool::units::{AttemptOutcome, BackendId, Micros, RequestId};
 use notchspool_idempotency::claim_proposal::Outcome as ClaimOutcome;
 use notchspool_mesh_config::route_config::{Route, RouteConfig, RouteKind};
 use notchspool_mesh_protocol::{Header, Request as PeerRequest, Response as PeerReply, Ticket, Verdict};
@@ -83,7 +83,7 @@
 struct InFlight {
     outbound: Rc<Outbound>,
     service: String,
-    request: TxnRef,
+    request: RequestId,
     is_answered: Cell<bool>,
 }
 
@@ -111,7 +111,7 @@
 struct Delivery<'a> {
     route: &'a Route,
     service: &'a str,
-    request: TxnRef,
+    request: RequestId,
     client: &'a ClientRequest,
 }
 
@@ -205,7 +205,7 @@
 
     async fn route(self: &Rc<Outbound>, route: &Route, client: ClientRequest) -> ClientResponse {
         let service = route.pick_service(self.context.random()).to_string();
-        let request = TxnRef(self.context.next_id());
+        let request = RequestId(self.context.next_id());
         let in_flight = InFlight {
             outbound: self.clone(),
             service: service.clone(),
@@ -257,7 +257,7 @@
             let reached = self.evaluate(delivery, &mut attempts, &response.response, attempt).await;
             let end = AttemptEnd {
                 attempt,
-                fate: self.fate(delivery, &response.response, reached.verdict),
+                outcome: self.attempt_outcome(delivery, &response.response, reached.verdict),
                 took,
                 is_final: reached.action != Action::Retry,
             };
@@ -289,7 +289,7 @@
     /// A backend was picked, and the request is not sent there after all.
     fn release_unsent(&self, delivery: &Delivery<'_>, attempt: u32) {
         let (now, took) = (self.context.now(), Micros(0));
-        let end = AttemptEnd { attempt, fate: Fate::NeverSent, took, is_final: true };
+        let end = AttemptEnd { attempt, outcome: AttemptOutcome::NotSent, took, is_final: true };
         self.services.with(delivery.service, |b| b.on_attempt_end(now, delivery.request, end));
     }
 
@@ -318,15 +318,20 @@
     }
 
     /// How an attempt ended, for the decision module. A proxy whose backend is full tells of load, which it reports, and not of illness.
-    fn fate(&self, delivery: &Delivery<'_>, response: &PeerReply, verdict: Verdict) -> Fate {
+    fn attempt_outcome(
+        &self,
+        delivery: &Delivery<'_>,
+        response: &PeerReply,
+        verdict: Verdict,
+    ) -> AttemptOutcome {
         match verdict {
-            Verdict::Answered if response.status >= 500 => Fate::Errored,
-            Verdict::Answered => Fate::Settled,
-            Verdict::OtherInstance => Fate::TurnedAway,
-            Verdict::NotRun if response.utilisation == 0 => Fate::NoLink,
-            Verdict::MayHaveRun if self.context.now() >= delivery.client.deadline => Fate::TimedOut,
-            Verdict::MayHaveRun => Fate::Broken,
-            _ => Fate::NeverSent,
+            Verdict::Answered if response.status >= 500 => AttemptOutcome::Failed,
+            Verdict::Answered => AttemptOutcome::Succeeded,
+            Verdict::OtherInstance => AttemptOutcome::Rejected,
+            Verdict::NotRun if response.utilisation == 0 => AttemptOutcome::ConnectFailed,
+            Verdict::MayHaveRun if self.context.now() >= delivery.client.deadline => AttemptOutcome::TimedOut,
+            Verdict::MayHaveRun => AttemptOutcome::ConnectionLost,
+            _ => AttemptOutcome::NotSent,
         }
     }
 
@@ -476,7 +481,7 @@
 }
 
 /// Where the decision module wants this request; `None` where nowhere.
-fn picked_backend(actions: &[BalancerAction], request: TxnRef) -> Option<BackendId> {
+fn picked_backend(actions: &[BalancerAction], request: RequestId) -> Option<BackendId> {
     let of_request = actions.iter().find(|action| {
         matches!(
             action,
--- a/crates/data-plane/src/retry_budget.rs
+++ b/crates/data-plane/src/retry_budget.rs
@@ -43,7 +43,7 @@
 
     /// A request for the service began here.
     pub fn on_request(&mut self, now: Micros) {
-        let elapsed = (now - self.updated_at).over(self.window).min(1.0);
+        let elapsed = (now - self.updated_at).ratio_to(self.window).min(1.0);
         self.updated_at = now;
         self.saved = (self.saved * (1.0 - elapsed) + self.earned_a_request).min(self.max_saved);
     }
--- a/crates/data-plane/src/service_balancer.rs
+++ b/crates/data-plane/src/service_balancer.rs
@@ -1,7 +1,7 @@
 //! The decision module (`notchspool`) for one service, as this proxy calls it: entries from endpoints, request classes from routes.
 use std::collections::{BTreeMap, HashMap};
 
-use notchspool::logic::{Balancer, Txn};
+use notchspool::balancer::{Balancer, RequestHandle};
 use notchspool::units::*;
 use notchspool_endpoint_registry::endpoint_list::Changes;
 use notchspool_mesh_config::route_config::{Route, RouteKind};
@@ -30,13 +30,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum BalancerAction {
     /// Send the request to this backend.
-    Send(TxnRef, BackendId),
+    Send(RequestId, BackendId),
     /// There is no backend for it; when to come back.
-    Reject(TxnRef, Option<Micros>),
+    Reject(RequestId, Option<Micros>),
     /// It may have run, and is given up.
-    Fail(TxnRef),
+    Fail(RequestId),
     /// An attempt is of no use any more.
-    Cancel(TxnRef),
+    Cancel(RequestId),
     /// A line for the log.
     Log(String),
 }
@@ -45,38 +45,38 @@
 #[derive(Default)]
 struct Recorder(Vec<BalancerAction>);
 
-impl Outlet for Recorder {
-    fn post(&mut self, request: TxnRef, to: BackendId, _: Micros) {
+impl Effects for Recorder {
+    fn send(&mut self, request: RequestId, to: BackendId, _: Micros) {
         self.0.push(BalancerAction::Send(request, to));
     }
-    fn cancel(&mut self, request: TxnRef, _: u32) {
+    fn cancel(&mut self, request: RequestId, _: u32) {
         self.0.push(BalancerAction::Cancel(request));
     }
-    fn decline(&mut self, request: TxnRef, retry_after: Option<Micros>) {
+    fn reject(&mut self, request: RequestId, retry_after: Option<Micros>) {
         self.0.push(BalancerAction::Reject(request, retry_after));
     }
-    fn reverse(&mut self, request: TxnRef) {
+    fn fail(&mut self, request: RequestId) {
         self.0.push(BalancerAction::Fail(request));
     }
     fn probe(&mut self, _: BackendId) {}
     fn watch(&mut self) {}
-    fn wake_in(&mut self, _: Micros) {}
-    fn note(&mut self, line: &str) {
+    fn wake_after(&mut self, _: Micros) {}
+    fn log(&mut self, line: &str) {
         self.0.push(BalancerAction::Log(line.to_string()));
     }
 }
 
 /// What tells classes of requests apart for the decision module.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct RequestClass {
+struct ClassKey {
     idempotent: bool,
     is_large: bool,
     latency_target: Micros,
 }
 
-impl RequestClass {
-    fn of(route: &Route) -> RequestClass {
-        RequestClass {
+impl ClassKey {
+    fn of(route: &Route) -> ClassKey {
+        ClassKey {
             idempotent: route.kind.is_idempotent(),
             is_large: route.kind == RouteKind::Download,
             latency_target: route.latency_target,
@@ -90,7 +90,7 @@
     /// The attempt's number.
     pub attempt: u32,
     /// What became of it.
-    pub fate: Fate,
+    pub outcome: AttemptOutcome,
     /// How long it took.
     pub took: Micros,
     /// The client gets its answer by this.
@@ -102,7 +102,7 @@
     balancer: Balancer,
     ids: HashMap<String, BackendId>,
     endpoints: Vec<Endpoint>,
-    classes: BTreeMap<RequestClass, SchemeId>,
+    classes: BTreeMap<ClassKey, ClassId>,
     zones: BTreeMap<String, ZoneId>,
     /// Retries to this service.
     pub retry_budget: RetryBudget,
@@ -117,24 +117,24 @@
         retry_budget: RetryBudget,
         now: Micros,
     ) -> ServiceBalancer {
-        let terms = Terms {
-            agents: 1,
+        let policy = Policy {
+            agent_count: 1,
             zone: ZoneId(0),
-            max_postings: MAX_ATTEMPTS,
+            max_attempts: MAX_ATTEMPTS,
             drain_grace: Some(drain),
-            ask_within: Micros::ms(60_000),
-            cold_from: 0.4,
-            cold_span: WARMUP,
-            fall_multiple: 2.0,
-            fall_span: Micros::ms(1_000),
+            watch_within: Micros::ms(60_000),
+            warmup_floor: 0.4,
+            warmup_span: WARMUP,
+            warmup_multiple: 2.0,
+            warmup_window: Micros::ms(1_000),
             retry_after: Some(Micros::ms(60)),
             tick: Micros::ms(1),
-            doors: true,
-            few: Some(usize::MAX),
-            ..Terms::default()
+            backend_admission: true,
+            subset_size: Some(usize::MAX),
+            ..Policy::default()
         };
         ServiceBalancer {
-            balancer: Balancer::open(terms, seed, now),
+            balancer: Balancer::new(policy, seed, now),
             ids: HashMap::new(),
             endpoints: Vec::new(),
             classes: BTreeMap::new(),
@@ -150,7 +150,7 @@
 
     /// How many of its backends are listed, healthy and not leaving.
     pub fn healthy_backends(&self) -> usize {
-        self.balancer.sound()
+        self.balancer.healthy_backends()
     }
 
     /// The number of this instance: its own, or that of one that has left.
@@ -175,27 +175,27 @@
     /// The endpoint list has changed, as of this version.
     pub fn apply_changes(&mut self, now: Micros, version: u64, changes: &Changes) -> Vec<BalancerAction> {
         let changed = changes.removed.iter().chain(&changes.updated);
-        let entries: Vec<Entry> = changed.filter_map(|endpoint| self.entry_of(now, endpoint)).collect();
+        let entries: Vec<ListEntry> = changed.filter_map(|endpoint| self.entry_of(now, endpoint)).collect();
         let mut recorder = Recorder::default();
-        self.balancer.clock(now);
-        self.balancer.listed(Refresh::Delta, Generation(version), &entries, &mut recorder);
+        self.balancer.set_clock(now);
+        self.balancer.on_list(Refresh::Delta, Generation(version), &entries, &mut recorder);
         recorder.0
     }
 
     /// What the decision module is told of an endpoint; `None` for one that has left.
-    fn entry_of(&mut self, now: Micros, endpoint: &Endpoint) -> Option<Entry> {
+    fn entry_of(&mut self, now: Micros, endpoint: &Endpoint) -> Option<ListEntry> {
         if endpoint.state() == EndpointState::Left && !self.ids.contains_key(&endpoint.instance) {
             return None;
         }
         let next_zone = ZoneId(self.zones.len() as u32);
         let zone = *self.zones.entry(endpoint.zone.clone()).or_insert(next_zone);
-        let standing = match endpoint.state() {
-            EndpointState::Ready => Standing::Ready,
-            EndpointState::Draining | EndpointState::Away => Standing::Draining,
-            EndpointState::Missing | EndpointState::Unknown => Standing::Gone,
+        let status = match endpoint.state() {
+            EndpointState::Ready => EndpointStatus::Ready,
+            EndpointState::Draining | EndpointState::Away => EndpointStatus::Draining,
+            EndpointState::Missing | EndpointState::Unknown => EndpointStatus::Gone,
             EndpointState::Left => {
                 let id = self.id_of(endpoint);
-                self.balancer.dropped(id);
+                self.balancer.on_backend_left(id);
                 return None;
             }
         };
@@ -203,12 +203,12 @@
         let started = if warmup > Micros(0) { now + warmup - WARMUP } else { Micros(0) };
         let backend = self.id_of(endpoint);
         let size = f64::from(endpoint.slots.clamp(1, MAX_SLOTS));
-        Some(Entry { backend, zone, standing, started, size, ..Entry::default() })
+        Some(ListEntry { backend, zone, status, started, size, ..ListEntry::default() })
     }
 
     /// The decision module's number for the class of a route's requests.
-    fn class_of(&mut self, route: &Route) -> SchemeId {
-        let class = RequestClass::of(route);
+    fn class_of(&mut self, route: &Route) -> ClassId {
+        let class = ClassKey::of(route);
         if let Some(id) = self.classes.get(&class) {
             return *id;
         }
@@ -217,15 +217,15 @@
         {
             return *id;
         }
-        let row = Scheme {
-            kind: if class.idempotent { Kind::Repeatable } else { Kind::OnceOnly },
-            group: Group::All,
-            window: Micros(0),
-            sla: class.latency_target,
-            overdue: LATE_VALUE,
+        let row = RequestClass {
+            kind: if class.idempotent { RequestKind::Idempotent } else { RequestKind::NonIdempotent },
+            scope: DeduplicationScope::All,
+            deduplication_window: Micros(0),
+            latency_target: class.latency_target,
+            late_value: LATE_VALUE,
         };
         let remote_weight = if class.is_large { REMOTE_ZONE_WEIGHT_LARGE } else { REMOTE_ZONE_WEIGHT };
-        let id = self.balancer.scheme(row, remote_weight);
+        let id = self.balancer.add_class(row, remote_weight);
         self.classes.insert(class, id);
         id
     }
@@ -234,53 +234,58 @@
     pub fn begin(
         &mut self,
         now: Micros,
-        request: TxnRef,
+        request: RequestId,
         route: &Route,
         deadline: Micros,
     ) -> Vec<BalancerAction> {
         let class = self.class_of(route);
         self.retry_budget.on_request(now);
         let mut recorder = Recorder::default();
-        self.balancer.clock(now);
-        self.balancer.take(request, class, deadline).route(&mut recorder);
+        self.balancer.set_clock(now);
+        self.balancer.begin(request, class, deadline).route(&mut recorder);
         recorder.0
     }
 
-    fn request(&mut self, now: Micros, request: TxnRef) -> Option<Txn<'_>> {
-        self.balancer.clock(now);
-        self.balancer.txn(request)
+    fn request(&mut self, now: Micros, request: RequestId) -> Option<RequestHandle<'_>> {
+        self.balancer.set_clock(now);
+        self.balancer.request(request)
     }
 
     /// An attempt has ended: where the request is to be sent next.
-    pub fn on_attempt_end(&mut self, now: Micros, request: TxnRef, end: AttemptEnd) -> Vec<BalancerAction> {
+    pub fn on_attempt_end(
+        &mut self,
+        now: Micros,
+        request: RequestId,
+        end: AttemptEnd,
+    ) -> Vec<BalancerAction> {
         let mut recorder = Recorder::default();
         if let Some(request) = self.request(now, request) {
-            request.returned(end.attempt, end.fate, end.took, end.is_final, &mut recorder);
+            request.on_attempt_end(end.attempt, end.outcome, end.took, end.is_final, &mut recorder);
         }
         recorder.0
     }
 
     /// The client left.
-    pub fn on_client_left(&mut self, now: Micros, request: TxnRef) {
+    pub fn on_client_left(&mut self, now: Micros, request: RequestId) {
         if let Some(request) = self.request(now, request) {
-            request.left(&mut Recorder::default());
+            request.on_client_left(&mut Recorder::default());
         }
     }
 
     /// The proxy beside a backend reports its load: utilisation in thousandths, plus 1; 0 where it is not reported.
     pub fn on_load_report(&mut self, now: Micros, id: BackendId, utilisation: u32) {
-        self.balancer.clock(now);
+        self.balancer.set_clock(now);
         let utilisation = (utilisation > 0).then(|| f64::from(utilisation - 1) / 1_000.0);
         if utilisation.is_some() {
-            self.balancer.reported(id, Some(Report { utilisation, ..Report::default() }));
+            self.balancer.on_load_report(id, Some(LoadReport { utilisation, ..LoadReport::default() }));
         }
     }
 
     /// Time has passed.
     pub fn tick(&mut self, now: Micros) -> Vec<BalancerAction> {
         let mut recorder = Recorder::default();
-        self.balancer.clock(now);
-        self.balancer.wake(&mut recorder);
+        self.balancer.set_clock(now);
+        self.balancer.on_wake(&mut recorder);
         recorder.0
     }
 }
--- a/crates/data-plane/tests/service_balancer.rs
+++ b/crates/data-plane/tests/service_balancer.rs
@@ -2,7 +2,7 @@
 //! versions only go up.
 use std::collections::BTreeMap;
 
-use notchspool::units::{Fate, Micros, TxnRef};
+use notchspool::units::{AttemptOutcome, Micros, RequestId};
 use notchspool_data_plane::retry_budget::RetryBudget;
 use notchspool_data_plane::service_balancer::{AttemptEnd, BalancerAction, ServiceBalancer};
 use notchspool_endpoint_registry::endpoint_list::{Changes, EndpointList};
@@ -56,14 +56,19 @@
         let mut found = BTreeMap::new();
         for _ in 0..n {
             self.next += 1;
-            let request = TxnRef(self.next);
+            let request = RequestId(self.next);
             let route = route(RouteKind::Safe);
             let actions = self.balancer.begin(self.now, request, &route, self.now + Micros::ms(1_000));
             let Some(BalancerAction::Send(_, to)) = actions.first() else { continue };
             let name = self.balancer.endpoint(*to).map_or(String::new(), |s| s.instance.clone());
             let utilisation = busy.iter().find(|b| b.0 == name).map_or(0, |b| b.1 + 1);
             self.balancer.on_load_report(self.now, *to, utilisation);
-            let end = AttemptEnd { attempt: 0, fate: Fate::Settled, took: Micros::ms(20), is_final: true };
+            let end = AttemptEnd {
+                attempt: 0,
+                outcome: AttemptOutcome::Succeeded,
+                took: Micros::ms(20),
+                is_final: true,
+            };
             self.balancer.on_attempt_end(self.now, request, end);
             *found.entry(name).or_insert(0) += 1;
         }
--- a/crates/lab/src/core/auditor.rs
+++ b/crates/lab/src/core/auditor.rs
@@ -29,8 +29,8 @@
 /// How a scheme may be repeated.
 #[derive(Clone, Copy, Debug)]
 pub struct Repeats {
-    pub kind: Kind,
-    pub group: Group,
+    pub kind: RequestKind,
+    pub group: DeduplicationScope,
     pub window: Micros,
 }
 
@@ -104,7 +104,7 @@
 #[derive(Clone, Debug)]
 struct Book {
     agent: AgentId,
-    scheme: SchemeId,
+    scheme: ClassId,
     taken: Micros,
     expiry: Micros,
     heard: Vec<(Micros, Final)>,
@@ -254,14 +254,15 @@
 
     // Rule 2.
     let ran: Vec<Micros> = book.sent.iter().flat_map(|s| s.ran.iter().copied()).collect();
-    if row.kind == Kind::OnceOnly {
+    if row.kind == RequestKind::NonIdempotent {
         verdict.once_only_ran += ran.len();
         if let Some(&at) = ran.get(1) {
             breach(Rule::Twice, "a once-only txn ran twice", at);
         }
     }
     if let Some((at, Final::Declined)) = first
-        && (row.kind == Kind::OnceOnly || (row.kind == Kind::Referenced && row.group != Group::All))
+        && (row.kind == RequestKind::NonIdempotent
+            || (row.kind == RequestKind::Keyed && row.group != DeduplicationScope::All))
         && book.sent.iter().any(Sent::may_have_run)
     {
         breach(Rule::Twice, "declined though it may have run", at);
@@ -277,16 +278,16 @@
         }
         let Some(earlier) = before.iter().find(|s| s.came.is_some() && s.may_have_run()) else { continue };
         match row.kind {
-            Kind::Repeatable => {}
-            Kind::OnceOnly => {
+            RequestKind::Idempotent => {}
+            RequestKind::NonIdempotent => {
                 breach(Rule::Twice, "a once-only txn sent again though it may have run", later.began)
             }
-            Kind::Referenced => {
+            RequestKind::Keyed => {
                 let place = |back: BackId| agreed.places[back.0];
                 let within = match row.group {
-                    Group::All => true,
-                    Group::Zone => place(earlier.back).zone == place(later.back).zone,
-                    Group::Cell => place(earlier.back).cell == place(later.back).cell,
+                    DeduplicationScope::All => true,
+                    DeduplicationScope::Zone => place(earlier.back).zone == place(later.back).zone,
+                    DeduplicationScope::Cell => place(earlier.back).cell == place(later.back).cell,
                 };
                 if !within {
                     breach(Rule::Twice, "a reference sent again outside its group", later.began);
--- a/crates/lab/src/core/backend.rs
+++ b/crates/lab/src/core/backend.rs
@@ -141,7 +141,7 @@
         let Some(started) = self.started else { return 1.0 };
         let cold = &self.build.cold;
         let steps = Micros((now - started).0 / STEP.0 * STEP.0);
-        (cold.from + (1.0 - cold.from) * steps.over(cold.span)).min(1.0)
+        (cold.from + (1.0 - cold.from) * steps.ratio_to(cold.span)).min(1.0)
     }
     /// Work that it can do in a microsecond, all cores together, were nothing else wrong with it.
     pub fn able(&self, now: Micros) -> f64 {
--- a/crates/lab/src/core/cold.rs
+++ b/crates/lab/src/core/cold.rs
@@ -45,7 +45,7 @@
         while start.came.front().is_some_and(|came| at - came.0 > cold.within) {
             start.came.pop_front();
         }
-        let warmth = (cold.from + (1.0 - cold.from) * (at - start.at).over(cold.span)).min(1.0);
+        let warmth = (cold.from + (1.0 - cold.from) * (at - start.at).ratio_to(cold.span)).min(1.0);
         let able = agreed.places.get(back.0)?.able * warmth * cold.within.0 as f64;
         let all: f64 = start.came.iter().map(|came| came.2).sum();
         let told: f64 =
--- a/crates/lab/src/core/crowd.rs
+++ b/crates/lab/src/core/crowd.rs
@@ -8,8 +8,8 @@
 #[derive(Clone, Debug)]
 pub struct Scheme {
     pub name: String,
-    pub kind: Kind,
-    pub group: Group,
+    pub kind: RequestKind,
+    pub group: DeduplicationScope,
     pub window: Micros,
     pub sla: Micros,
     pub expiry: Micros,
@@ -63,7 +63,7 @@
 pub struct Order {
     pub id: OrderId,
     pub due: Micros,
-    pub scheme: SchemeId,
+    pub scheme: ClassId,
     pub tenant: usize,
     pub agent: AgentId,
     pub work: Micros,
@@ -109,7 +109,7 @@
     Order {
         id,
         due,
-        scheme: SchemeId(scheme),
+        scheme: ClassId(scheme),
         tenant: by_weight(habits.tenants.iter().copied(), lot(2)).unwrap_or(0),
         agent: AgentId(by_weight(habits.agents.iter().copied(), lot(3)).unwrap_or(0)),
         work: Micros(between(5, (row.work.0.0 as f64, row.work.1.0 as f64)) as i64),
@@ -125,12 +125,13 @@
 pub fn again(
     habits: &Habits,
     order: &Order,
-    kind: Kind,
+    kind: RequestKind,
     answer: Option<Final>,
     tries: u32,
     told: Option<Micros>,
 ) -> Option<Micros> {
-    let harmless = answer == Some(Final::Declined) || (answer.is_some() && kind != Kind::OnceOnly);
+    let harmless =
+        answer == Some(Final::Declined) || (answer.is_some() && kind != RequestKind::NonIdempotent);
     if answer == Some(Final::Settled) || !harmless {
         return None;
     }
--- a/crates/lab/src/core/fleet.rs
+++ b/crates/lab/src/core/fleet.rs
@@ -81,7 +81,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Wanted {
     pub txn: TxnId,
-    pub scheme: SchemeId,
+    pub scheme: ClassId,
     pub work: Micros,
     pub reference: RefId,
 }
@@ -218,11 +218,11 @@
         let scheme = &self.schemes[wanted.scheme.0];
         let site = &self.sites[back.0];
         let group = match scheme.group {
-            Group::All => 0,
-            Group::Zone => site.zone.0 as u64,
-            Group::Cell => site.cell,
+            DeduplicationScope::All => 0,
+            DeduplicationScope::Zone => site.zone.0 as u64,
+            DeduplicationScope::Cell => site.cell,
         };
-        let first = scheme.kind != Kind::Referenced
+        let first = scheme.kind != RequestKind::Keyed
             || self.memory.first(at, (wanted.scheme.0, group), wanted.reference, scheme.window);
         let entry = if first { Entry::Ran { posting } } else { Entry::Repeat { posting } };
         self.ledger.write(at, entry);
--- a/crates/lab/src/core/kit.rs
+++ b/crates/lab/src/core/kit.rs
@@ -1,5 +1,5 @@
 //! Ids and draws of the lab. Times, kinds and groups are the module's own.
-pub use notchspool::units::{Group, Kind, Micros, SchemeId};
+pub use notchspool::units::{ClassId, DeduplicationScope, Micros, RequestKind};
 use oorandom::Rand64;
 
 macro_rules! ids {
--- a/crates/lab/src/core/ledger.rs
+++ b/crates/lab/src/core/ledger.rs
@@ -37,7 +37,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Entry {
     /// A client gave an agent a txn: its last byte was written. It waits until `expiry`.
-    Taken { txn: TxnId, agent: AgentId, scheme: SchemeId, expiry: Micros },
+    Taken { txn: TxnId, agent: AgentId, scheme: ClassId, expiry: Micros },
     /// The last byte of a whole answer.
     Heard { txn: TxnId, answer: Final },
     /// The client's patience was over, and it left.
--- a/crates/lab/src/core/notation.rs
+++ b/crates/lab/src/core/notation.rs
@@ -26,9 +26,16 @@
 ];
 const STANDINGS: [(&str, Standing); 3] =
     [("ready", Standing::Ready), ("draining", Standing::Draining), ("gone", Standing::Gone)];
-const KINDS: [(&str, Kind); 3] =
-    [("repeatable", Kind::Repeatable), ("referenced", Kind::Referenced), ("once-only", Kind::OnceOnly)];
-const GROUPS: [(&str, Group); 3] = [("all", Group::All), ("zone", Group::Zone), ("cell", Group::Cell)];
+const KINDS: [(&str, RequestKind); 3] = [
+    ("repeatable", RequestKind::Idempotent),
+    ("referenced", RequestKind::Keyed),
+    ("once-only", RequestKind::NonIdempotent),
+];
+const GROUPS: [(&str, DeduplicationScope); 3] = [
+    ("all", DeduplicationScope::All),
+    ("zone", DeduplicationScope::Zone),
+    ("cell", DeduplicationScope::Cell),
+];
 
 fn named<T: Copy>(all: &[(&str, T)], word: &str) -> Result<T, String> {
     let names = || all.iter().map(|(name, _)| *name).collect::<Vec<_>>().join(", ");
@@ -71,7 +78,7 @@
         "take" => Entry::Taken {
             txn: TxnId(w.number()?),
             agent: AgentId(w.number()?),
-            scheme: SchemeId(w.number()?),
+            scheme: ClassId(w.number()?),
             expiry: w.time()?,
         },
         "heard" => Entry::Heard { txn: TxnId(w.number()?), answer: named(&FINALS, w.word()?)? },
--- a/crates/lab/src/mesh/player.rs
+++ b/crates/lab/src/mesh/player.rs
@@ -369,7 +369,7 @@
                 }
                 Effect::Reply { call: id, status, body } => self.replied(id, Reply { status, body }),
                 Effect::Log(line) if line.starts_with("members: ") => {
-                    let time = self.now.over(Micros::ms(1_000));
+                    let time = self.now.ratio_to(Micros::ms(1_000));
                     self.logs.push(format!("{time:.3} {}: {line}", Player::core_name(at)));
                 }
                 Effect::Connect(_) | Effect::Log(_) => {}
@@ -390,7 +390,7 @@
         }
         let Some(called) = self.calls.remove(&id) else { return };
         if self.now - called.at > CALLER {
-            let late = (self.now - called.at).over(Micros::ms(1_000));
+            let late = (self.now - called.at).ratio_to(Micros::ms(1_000));
             self.wrong(format!("core-{} answers after {late:.2} s", called.core + 1));
         }
         match &called.order {
--- a/crates/lab/src/mesh/proxy.rs
+++ b/crates/lab/src/mesh/proxy.rs
@@ -153,14 +153,14 @@
         let mut found = std::collections::BTreeSet::new();
         for _ in 0..100 {
             self.next += 1;
-            let txn = notchspool::units::TxnRef(self.next);
+            let txn = notchspool::units::RequestId(self.next);
             let orders = self.balancer.begin(now, txn, &route, now + Micros::ms(1_000));
             if let Some(BalancerAction::Send(_, to)) =
                 orders.iter().find(|o| matches!(o, BalancerAction::Send(..)))
             {
                 found.insert(self.balancer.endpoint(*to).map_or(String::new(), |s| s.instance.clone()));
-                let fate = notchspool::units::Fate::Settled;
-                let end = AttemptEnd { attempt: 0, fate, took: Micros::ms(20), is_final: true };
+                let fate = notchspool::units::AttemptOutcome::Succeeded;
+                let end = AttemptEnd { attempt: 0, outcome: fate, took: Micros::ms(20), is_final: true };
                 self.balancer.on_attempt_end(now, txn, end);
             }
         }
--- a/crates/lab/src/mesh/timeline.rs
+++ b/crates/lab/src/mesh/timeline.rs
@@ -68,7 +68,7 @@
                     None => proxy(&mut player, column, &words),
                 };
                 if let Err(why) = wrong {
-                    let at = time.over(Micros::ms(1_000));
+                    let at = time.ratio_to(Micros::ms(1_000));
                     player.wrong.push(format!("{at:.1} {column} `{command}`: {why}"));
                 }
             }
--- a/crates/lab/src/mesh/traffic/script.rs
+++ b/crates/lab/src/mesh/traffic/script.rs
@@ -24,7 +24,7 @@
             for command in cell.split(';').map(str::trim).filter(|c| *c != ".") {
                 let words: Vec<&str> = command.split_whitespace().collect();
                 if let Err(why) = agent(&mut world, column, &words) {
-                    let at = time.over(Micros::ms(1_000));
+                    let at = time.ratio_to(Micros::ms(1_000));
                     wrong.push((None, format!("{at:.1} {column} `{command}`: {why}")));
                 }
             }
--- a/crates/lab/src/plan/read.rs
+++ b/crates/lab/src/plan/read.rs
@@ -250,14 +250,14 @@
         schemes.push(Scheme {
             name: named.clone(),
             kind: match row.kind {
-                file::Kind::Repeatable => Kind::Repeatable,
-                file::Kind::Referenced => Kind::Referenced,
-                file::Kind::OnceOnly => Kind::OnceOnly,
+                file::Kind::Repeatable => RequestKind::Idempotent,
+                file::Kind::Referenced => RequestKind::Keyed,
+                file::Kind::OnceOnly => RequestKind::NonIdempotent,
             },
             group: match row.group {
-                None | Some(file::Group::All) => Group::All,
-                Some(file::Group::Zone) => Group::Zone,
-                Some(file::Group::Cell) => Group::Cell,
+                None | Some(file::Group::All) => DeduplicationScope::All,
+                Some(file::Group::Zone) => DeduplicationScope::Zone,
+                Some(file::Group::Cell) => DeduplicationScope::Cell,
             },
             window: ms(row.window_ms.map_or(0.0, Spanned::into_inner)),
             sla: ms(sla),
--- a/crates/lab/src/seeded/day.rs
+++ b/crates/lab/src/seeded/day.rs
@@ -2,8 +2,8 @@
 use std::collections::BTreeMap;
 
 use notchspool::units::{
-    BackendId, CellId, Entry as Listed, Fate, Generation, Refresh, Report, Scheme as Row, Standing as Told,
-    Terms, TxnRef, ZoneId as Zone,
+    AttemptOutcome, BackendId, CellId, EndpointStatus as Told, Generation, ListEntry as Listed, LoadReport,
+    Policy, Refresh, RequestClass as Row, RequestId, ZoneId as Zone,
 };
 
 use super::host::{Breaks, Host, Want};
@@ -60,8 +60,8 @@
     /// What became of it comes to its agent.
     Back {
         sent: u64,
-        fate: Fate,
-        report: Option<Report>,
+        fate: AttemptOutcome,
+        report: Option<LoadReport>,
     },
     /// Its time is over.
     Over {
@@ -216,7 +216,7 @@
             Effect::Down(back) => {
                 let held = self.sent.iter().filter(|(_, s)| s.to == back && s.open && s.posting.is_some());
                 for sent in held.map(|(sent, _)| *sent).collect::<Vec<_>>() {
-                    self.ends(sent, End::Broken, Fate::Broken, None);
+                    self.ends(sent, End::Broken, AttemptOutcome::ConnectionLost, None);
                 }
             }
             Effect::Cut(zone, cut) => self.cut[zone.0] = cut,
@@ -286,38 +286,38 @@
         let tries = &self.tries;
         let own = |s: &Sent| s.open && tries.get(&s.txn).is_some_and(|t| t.agent == agent);
         for sent in self.sent.iter().filter(|s| own(s.1)).map(|s| *s.0).collect::<Vec<_>>() {
-            self.ends(sent, End::GivenUp, Fate::Withdrawn, None);
+            self.ends(sent, End::GivenUp, AttemptOutcome::Cancelled, None);
         }
     }
 
-    fn terms(&self, agent: usize) -> Terms {
+    fn terms(&self, agent: usize) -> Policy {
         let (told, cold) = (&self.plan.told, &self.plan.sites[0].build.cold);
         let row = |s: &crate::core::crowd::Scheme| Row {
             kind: s.kind,
-            group: s.group,
-            window: s.window,
-            sla: s.sla,
-            overdue: 1.0,
+            scope: s.group,
+            deduplication_window: s.window,
+            latency_target: s.sla,
+            late_value: 1.0,
         };
-        Terms {
-            agents: self.agents.len() as u32,
+        Policy {
+            agent_count: self.agents.len() as u32,
             zone: Zone(self.agents[agent].zone.0 as u32),
-            schemes: self.plan.schemes.iter().map(row).collect(),
-            max_postings: told.most_postings as u32,
+            classes: self.plan.schemes.iter().map(row).collect(),
+            max_attempts: told.most_postings as u32,
             drain_grace: Some(told.drain_grace),
-            ask_within: told.ask_within,
+            watch_within: told.ask_within,
             list_on_request: true,
-            cold_from: cold.from,
-            cold_span: cold.span,
-            fall_multiple: cold.multiple,
-            fall_span: cold.within,
+            warmup_floor: cold.from,
+            warmup_span: cold.span,
+            warmup_multiple: cold.multiple,
+            warmup_window: cold.within,
             retry_after: (told.retry_after > Micros(0)).then_some(told.retry_after),
             may_probe: false,
             may_cancel: told.cancel,
             report_by_probe: false,
             probe_price: 0.0,
             tick: Micros::ms(5),
-            ..Terms::default()
+            ..Policy::default()
         }
     }
 
@@ -328,7 +328,7 @@
                 backend: BackendId(back.0 as u32),
                 zone: Zone(site.zone.0 as u32),
                 cell: CellId(site.cell as i64),
-                standing: match row.standing {
+                status: match row.standing {
                     Standing::Ready => Told::Ready,
                     Standing::Draining => Told::Draining,
                     Standing::Gone => Told::Gone,
@@ -345,7 +345,7 @@
     fn call(
         &mut self,
         agent: usize,
-        call: impl FnOnce(&mut notchspool::logic::Balancer, &mut super::host::Hand),
+        call: impl FnOnce(&mut notchspool::balancer::Balancer, &mut super::host::Hand),
     ) {
         let now = self.now + LEAD;
         let Some(host) = &mut self.agents[agent].host else { return };
@@ -360,7 +360,7 @@
             Want::Cancel { txn } => {
                 let out = self.tries.get(&TxnId(txn.0)).and_then(|t| t.out);
                 if let Some(sent) = out {
-                    self.ends(sent, End::GivenUp, Fate::Withdrawn, None);
+                    self.ends(sent, End::GivenUp, AttemptOutcome::Cancelled, None);
                 }
             }
             Want::Decline { txn, away } => self.answer(TxnId(txn.0), Final::Declined, away),
@@ -397,7 +397,7 @@
         if from != here && (self.cut[from.0] || self.cut[here.0]) {
             // Nobody answers there: no connection comes up.
             let at = (self.now + self.plan.told.connect_within).min(until);
-            return self.at(at, Event::Back { sent, fate: Fate::NoLink, report: None });
+            return self.at(at, Event::Back { sent, fate: AttemptOutcome::ConnectFailed, report: None });
         }
         self.soon(Event::Came { sent });
         self.at(until, Event::Over { sent });
@@ -410,13 +410,13 @@
         let order = self.orders[self.tries[&txn].order];
         let refused = self.world.fleet.back(to).is_down() || self.world.fleet.breaks_before(to, sent);
         if refused {
-            return self.soon(Event::Back { sent, fate: Fate::NoLink, report: None });
+            return self.soon(Event::Back { sent, fate: AttemptOutcome::ConnectFailed, report: None });
         }
         let wanted = Wanted { txn, scheme: order.scheme, work: order.work, reference: order.reference };
         let Some(posting) = self.world.fleet.began(now, now, to, wanted) else {
             // It broke before it was whole.
             self.sent.entry(sent).and_modify(|s| s.open = false);
-            return self.soon(Event::Back { sent, fate: Fate::NoLink, report: None });
+            return self.soon(Event::Back { sent, fate: AttemptOutcome::ConnectFailed, report: None });
         };
         self.sent.entry(sent).and_modify(|s| s.posting = Some(posting));
         self.by_posting.insert(posting, sent);
@@ -430,23 +430,23 @@
     fn reply(&mut self, sent: u64, reply: Reply) {
         let Some(one) = self.sent.get(&sent).filter(|s| s.open) else { return };
         let load = self.world.fleet.load(one.to);
-        let report = Some(Report {
+        let report = Some(LoadReport {
             utilisation: Some(load.utilisation),
             in_flight: Some(load.in_flight),
-            ..Report::default()
+            ..LoadReport::default()
         });
         let (end, fate) = match reply {
-            Reply::Settled => (End::Settled, Fate::Settled),
-            Reply::Errored => (End::Errored, Fate::Errored),
-            Reply::NeverRan => (End::NeverRan, Fate::TurnedAway),
-            Reply::CutOff | Reply::Spoilt | Reply::Reset => (End::Broken, Fate::Broken),
+            Reply::Settled => (End::Settled, AttemptOutcome::Succeeded),
+            Reply::Errored => (End::Errored, AttemptOutcome::Failed),
+            Reply::NeverRan => (End::NeverRan, AttemptOutcome::Rejected),
+            Reply::CutOff | Reply::Spoilt | Reply::Reset => (End::Broken, AttemptOutcome::ConnectionLost),
             Reply::Nothing => return,
         };
         self.ends(sent, end, fate, report);
     }
 
     /// A posting ends at its backend; its agent hears of it, unless it gave it up itself.
-    fn ends(&mut self, sent: u64, end: End, fate: Fate, report: Option<Report>) {
+    fn ends(&mut self, sent: u64, end: End, fate: AttemptOutcome, report: Option<LoadReport>) {
         let now = self.now;
         let Some(one) = self.sent.get_mut(&sent).filter(|s| s.open) else { return };
         one.open = false;
@@ -454,14 +454,14 @@
             self.by_posting.remove(&posting);
             self.world.fleet.over(now, posting, end);
         }
-        if fate == Fate::Withdrawn {
+        if fate == AttemptOutcome::Cancelled {
             return self.back(sent, fate, None);
         }
         self.soon(Event::Back { sent, fate, report });
     }
 
     /// What became of a posting comes to its agent.
-    fn back(&mut self, sent: u64, fate: Fate, report: Option<Report>) {
+    fn back(&mut self, sent: u64, fate: AttemptOutcome, report: Option<LoadReport>) {
         let Some(Sent { txn, nth, to, at, .. }) = self.sent.remove(&sent) else { return };
         let Some(one) = self.tries.get_mut(&txn) else { return };
         one.out = None;
@@ -470,13 +470,13 @@
             return;
         }
         let Some(fate) = self.agents[agent].host.as_ref().map(|host| host.fate(fate)) else { return };
-        if fate == Fate::Settled && open {
+        if fate == AttemptOutcome::Succeeded && open {
             self.answer(txn, Final::Settled, None);
         }
         self.call(agent, |balancer, hand| {
-            balancer.reported(BackendId(to.0 as u32), report);
-            if let Some(handle) = balancer.txn(TxnRef(txn.0)) {
-                handle.returned(nth, fate, took, !open, hand);
+            balancer.on_load_report(BackendId(to.0 as u32), report);
+            if let Some(handle) = balancer.request(RequestId(txn.0)) {
+                handle.on_attempt_end(nth, fate, took, !open, hand);
             }
         });
     }
@@ -490,7 +490,7 @@
                 let scheme = self.orders[one.order].scheme;
                 if self.agents[agent].life == life && one.open {
                     self.call(agent, |balancer, hand| {
-                        balancer.take(TxnRef(txn.0), scheme, expiry).route(hand)
+                        balancer.begin(RequestId(txn.0), scheme, expiry).route(hand)
                     });
                 }
             }
@@ -506,22 +506,22 @@
                 let (agent, life) = (self.tries[&txn].agent, self.tries[&txn].life);
                 if self.agents[agent].life == life {
                     self.call(agent, |balancer, hand| {
-                        if let Some(handle) = balancer.txn(TxnRef(txn.0)) {
-                            handle.left(hand);
+                        if let Some(handle) = balancer.request(RequestId(txn.0)) {
+                            handle.on_client_left(hand);
                         }
                     });
                 }
             }
             Event::Wake { agent, nth } => {
                 if self.agents[agent].wake == nth {
-                    self.call(agent, |balancer, hand| balancer.wake(hand));
+                    self.call(agent, |balancer, hand| balancer.on_wake(hand));
                 }
             }
             Event::Came { sent } => self.came(sent),
             Event::Back { sent, fate, report } => self.back(sent, fate, report),
             Event::Over { sent } => {
                 let came = self.sent.get(&sent).is_some_and(|s| s.posting.is_some());
-                let fate = if came { Fate::TimedOut } else { Fate::NoLink };
+                let fate = if came { AttemptOutcome::TimedOut } else { AttemptOutcome::ConnectFailed };
                 self.ends(sent, End::GivenUp, fate, None);
             }
             Event::Watch { agent, life } => self.watch(agent, life),
@@ -584,14 +584,14 @@
             return;
         }
         let Some(listing) = listing else {
-            return self.call(agent, |balancer, _| balancer.list_failed());
+            return self.call(agent, |balancer, _| balancer.on_list_failed());
         };
         let Some(host) = &self.agents[agent].host else { return };
         let entries = self.entries(host, &listing);
         let how = if listing.complete { Refresh::Full } else { Refresh::Delta };
         let version = Generation(listing.version);
         self.agents[agent].heard = Some(listing.version);
-        self.call(agent, |balancer, hand| balancer.listed(how, version, &entries, hand));
+        self.call(agent, |balancer, hand| balancer.on_list(how, version, &entries, hand));
     }
 
     fn launched(&mut self, agent: usize) {
@@ -609,6 +609,6 @@
         let entries = self.entries(&host, &known);
         self.agents[agent].host = Some(host);
         self.agents[agent].heard = Some(1);
-        self.call(agent, |balancer, hand| balancer.listed(Refresh::Restored, Generation(1), &entries, hand));
+        self.call(agent, |balancer, hand| balancer.on_list(Refresh::Restored, Generation(1), &entries, hand));
     }
 }
--- a/crates/lab/src/seeded/host.rs
+++ b/crates/lab/src/seeded/host.rs
@@ -1,5 +1,5 @@
 //! What stands round one balancer, as small as it can be, and hosts that are made to break one rule each.
-use notchspool::logic::Balancer;
+use notchspool::balancer::Balancer;
 use notchspool::units::*;
 
 /// A host that does not do what it should. The module in it is the real one.
@@ -20,10 +20,10 @@
 /// What the module wants done.
 #[derive(Clone, Copy, Debug)]
 pub enum Want {
-    Post { txn: TxnRef, to: BackendId, until: Micros },
-    Cancel { txn: TxnRef },
-    Decline { txn: TxnRef, away: Option<Micros> },
-    Reverse { txn: TxnRef },
+    Post { txn: RequestId, to: BackendId, until: Micros },
+    Cancel { txn: RequestId },
+    Decline { txn: RequestId, away: Option<Micros> },
+    Reverse { txn: RequestId },
     Watch,
     Wake(Micros),
 }
@@ -31,27 +31,27 @@
 #[derive(Default)]
 pub struct Hand(pub Vec<Want>);
 
-impl Outlet for Hand {
-    fn post(&mut self, txn: TxnRef, to: BackendId, until: Micros) {
+impl Effects for Hand {
+    fn send(&mut self, txn: RequestId, to: BackendId, until: Micros) {
         self.0.push(Want::Post { txn, to, until });
     }
-    fn cancel(&mut self, txn: TxnRef, _: u32) {
+    fn cancel(&mut self, txn: RequestId, _: u32) {
         self.0.push(Want::Cancel { txn });
     }
-    fn decline(&mut self, txn: TxnRef, away: Option<Micros>) {
+    fn reject(&mut self, txn: RequestId, away: Option<Micros>) {
         self.0.push(Want::Decline { txn, away });
     }
-    fn reverse(&mut self, txn: TxnRef) {
+    fn fail(&mut self, txn: RequestId) {
         self.0.push(Want::Reverse { txn });
     }
     fn probe(&mut self, _: BackendId) {}
     fn watch(&mut self) {
         self.0.push(Want::Watch);
     }
-    fn wake_in(&mut self, span: Micros) {
+    fn wake_after(&mut self, span: Micros) {
         self.0.push(Want::Wake(span));
     }
-    fn note(&mut self, _: &str) {}
+    fn log(&mut self, _: &str) {}
 }
 
 pub struct Host {
@@ -61,30 +61,30 @@
 }
 
 impl Host {
-    pub fn open(terms: Terms, seed: u64, now: Micros, breaks: Breaks) -> Host {
-        Host { breaks, balancer: Balancer::open(terms, seed, now), answered: 0 }
+    pub fn open(terms: Policy, seed: u64, now: Micros, breaks: Breaks) -> Host {
+        Host { breaks, balancer: Balancer::new(terms, seed, now), answered: 0 }
     }
     /// One call on the module at this moment, and what it wants done then.
     pub fn call(&mut self, now: Micros, call: impl FnOnce(&mut Balancer, &mut Hand)) -> Vec<Want> {
         let mut hand = Hand::default();
-        self.balancer.clock(now);
+        self.balancer.set_clock(now);
         call(&mut self.balancer, &mut hand);
         hand.0
     }
     /// An entry as this host reads it.
-    pub fn read(&self, entry: Entry) -> Entry {
+    pub fn read(&self, entry: ListEntry) -> ListEntry {
         match self.breaks {
-            Breaks::Drain if entry.standing == Standing::Draining => {
-                Entry { standing: Standing::Ready, ..entry }
+            Breaks::Drain if entry.status == EndpointStatus::Draining => {
+                ListEntry { status: EndpointStatus::Ready, ..entry }
             }
-            Breaks::Cold => Entry { started: Micros(0), ..entry },
+            Breaks::Cold => ListEntry { started: Micros(0), ..entry },
             _ => entry,
         }
     }
     /// The end of a posting as this host sees it.
-    pub fn fate(&self, fate: Fate) -> Fate {
+    pub fn fate(&self, fate: AttemptOutcome) -> AttemptOutcome {
         match (self.breaks, fate) {
-            (Breaks::Twice, Fate::Broken) => Fate::NoLink,
+            (Breaks::Twice, AttemptOutcome::ConnectionLost) => AttemptOutcome::ConnectFailed,
             _ => fate,
         }
     }
--- a/crates/lab/src/sockets/agents.rs
+++ b/crates/lab/src/sockets/agents.rs
@@ -60,8 +60,8 @@
     let scheme = |s: &crate::core::crowd::Scheme| {
         json!({
             "name": s.name, "stream": false, "value": s.value, "overdueValue": s.overdue,
-            "repeat": match s.kind { Kind::Repeatable => "safe", Kind::Referenced => "keyed", Kind::OnceOnly => "unsafe" },
-            "group": match s.group { Group::All => "all", Group::Zone => "zone", Group::Cell => "cell" },
+            "repeat": match s.kind { RequestKind::Idempotent => "safe", RequestKind::Keyed => "keyed", RequestKind::NonIdempotent => "unsafe" },
+            "group": match s.group { DeduplicationScope::All => "all", DeduplicationScope::Zone => "zone", DeduplicationScope::Cell => "cell" },
             "windowMs": time(s.window), "slaTimeMs": time(s.sla), "expiryMs": time(s.expiry),
         })
     };
--- a/crates/lab/src/sockets/clients.rs
+++ b/crates/lab/src/sockets/clients.rs
@@ -201,11 +201,11 @@
             ("X-Expires-In-Ms", (left.0 / 1000).to_string()),
             ("Host", "origin.svc".to_owned()),
         ];
-        if row.kind == Kind::Referenced {
+        if row.kind == RequestKind::Keyed {
             headers.push(("Idempotency-Key", format!("{:032x}", order.reference.0)));
         }
         let (method, body) = match row.kind {
-            Kind::Repeatable => ("GET", String::new()),
+            RequestKind::Idempotent => ("GET", String::new()),
             _ => ("POST", format!("order {}\n", order.id.0)),
         };
         let kept = self.pooled_fast(order.agent);
@@ -260,7 +260,7 @@
     }
 
     fn said(&self, order: &Order, row: &Scheme, txn: TxnId, left: Micros, tries: u32) -> String {
-        let safe = row.kind == Kind::Repeatable;
+        let safe = row.kind == RequestKind::Idempotent;
         let body = format!("order {}\n", order.id.0);
         let mut said = format!(
             "{} /{} HTTP/1.1\r\nHost: origin.svc\r\nX-Trace-Id: {}\r\nX-Customer: {}\r\nX-Expires-In-Ms: {}\r\n",
@@ -270,7 +270,7 @@
             self.tenants[order.tenant],
             left.0 / 1000,
         );
-        if row.kind == Kind::Referenced {
+        if row.kind == RequestKind::Keyed {
             said += &format!("Idempotency-Key: {:032x}\r\n", order.reference.0);
         }
         if tries > 1 {
--- a/crates/lab/src/sockets/house.rs
+++ b/crates/lab/src/sockets/house.rs
@@ -81,20 +81,20 @@
 
 fn scheme_of(text: &mut String, scheme: &crate::core::crowd::Scheme) {
     let (name, kind, method) = match scheme.kind {
-        Kind::Repeatable => (&scheme.name, "repeatable", "GET"),
-        Kind::Referenced => (&scheme.name, "referenced", "POST"),
-        Kind::OnceOnly => (&scheme.name, "once-only", "POST"),
+        RequestKind::Idempotent => (&scheme.name, "repeatable", "GET"),
+        RequestKind::Keyed => (&scheme.name, "referenced", "POST"),
+        RequestKind::NonIdempotent => (&scheme.name, "once-only", "POST"),
     };
     let (sla, expiry) = (ms(scheme.sla), ms(scheme.expiry));
     let _ = writeln!(
         text,
         "[[scheme]]\nname = \"{name}\"\nkind = \"{kind}\"\nsla_ms = {sla:.1}\nexpiry_ms = {expiry:.1}"
     );
-    if scheme.kind == Kind::Referenced {
+    if scheme.kind == RequestKind::Keyed {
         let group = match scheme.group {
-            Group::All => "all",
-            Group::Zone => "zone",
-            Group::Cell => "cell",
+            DeduplicationScope::All => "all",
+            DeduplicationScope::Zone => "zone",
+            DeduplicationScope::Cell => "cell",
         };
         let window = ms(scheme.window);
         let _ =
--- a/crates/lab/tests/auditor.rs
+++ b/crates/lab/tests/auditor.rs
@@ -15,9 +15,9 @@
     let row = |kind, group| Repeats { kind, group, window: Micros::ms(1000) };
     Agreement {
         schemes: vec![
-            row(Kind::Repeatable, Group::All),
-            row(Kind::Referenced, Group::Zone),
-            row(Kind::OnceOnly, Group::All),
+            row(RequestKind::Idempotent, DeduplicationScope::All),
+            row(RequestKind::Keyed, DeduplicationScope::Zone),
+            row(RequestKind::NonIdempotent, DeduplicationScope::All),
         ],
         places: [(0, 0), (0, 1), (1, 2)]
             .map(|(zone, cell)| Place { zone: ZoneId(zone), cell, able: 1.0 })
--- a/crates/routes/src/backup.rs
+++ b/crates/routes/src/backup.rs
@@ -7,7 +7,7 @@
 //!
 //! Held always, and tried by `tests/choices.rs`: a once-only txn that may have run, or a reference outside its group, never
 //! goes to the backup; the backup is not asked while the primary is in and took the txn.
-use notchspool::units::{Group, Kind, Micros};
+use notchspool::units::{DeduplicationScope, Micros, RequestKind};
 use oorandom::Rand64;
 
 /// Tried with this share first.
@@ -22,8 +22,8 @@
 /// How a txn came back from the primary without being served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Unserved {
-    pub kind: Kind,
-    pub group: Group,
+    pub kind: RequestKind,
+    pub group: DeduplicationScope,
     /// A posting of it may have run.
     pub may_have_run: bool,
     /// Backends of the primary that were sound at that moment.
@@ -124,8 +124,8 @@
 /// Whether a txn may leave its pool for another one without running twice.
 pub fn may_move(txn: &Unserved) -> bool {
     match txn.kind {
-        Kind::Repeatable => true,
+        RequestKind::Idempotent => true,
         // Another pool is another group: it remembers nothing of what may have run here.
-        Kind::Referenced | Kind::OnceOnly => !txn.may_have_run,
+        RequestKind::Keyed | RequestKind::NonIdempotent => !txn.may_have_run,
     }
 }
--- a/crates/routes/tests/choices.rs
+++ b/crates/routes/tests/choices.rs
@@ -1,5 +1,5 @@
 //! Shares, budget and backup.
-use notchspool::units::{Group, Kind, Micros};
+use notchspool::units::{DeduplicationScope, Micros, RequestKind};
 use notchspool_routes::backup::{Backup, Unserved};
 use notchspool_routes::budget::Budget;
 use notchspool_routes::share::pool_of;
@@ -40,19 +40,19 @@
     assert!(!none.repeat());
 }
 
-fn failed(kind: Kind, may_have_run: bool, sound: usize) -> Unserved {
-    Unserved { kind, group: Group::All, may_have_run, sound, posted: true }
+fn failed(kind: RequestKind, may_have_run: bool, sound: usize) -> Unserved {
+    Unserved { kind, group: DeduplicationScope::All, may_have_run, sound, posted: true }
 }
 
 #[rstest]
-#[case(Kind::OnceOnly, true, 0, false)]
-#[case(Kind::OnceOnly, false, 0, true)]
-#[case(Kind::Referenced, true, 0, false)]
-#[case(Kind::Referenced, false, 0, true)]
-#[case(Kind::Repeatable, true, 0, true)]
-#[case(Kind::Repeatable, false, 2, false)] // overload is no reason
+#[case(RequestKind::NonIdempotent, true, 0, false)]
+#[case(RequestKind::NonIdempotent, false, 0, true)]
+#[case(RequestKind::Keyed, true, 0, false)]
+#[case(RequestKind::Keyed, false, 0, true)]
+#[case(RequestKind::Idempotent, true, 0, true)]
+#[case(RequestKind::Idempotent, false, 2, false)] // overload is no reason
 fn only_what_can_not_run_twice_moves(
-    #[case] kind: Kind,
+    #[case] kind: RequestKind,
     #[case] ran: bool,
     #[case] sound: usize,
     #[case] moves: bool,
@@ -66,7 +66,7 @@
 fn the_way_back_is_gradual_and_a_primary_that_flaps_is_left_alone_for_longer() {
     let mut backup = Backup::new(1);
     let mut now = Micros::ms(0);
-    assert!(backup.unserved(now, failed(Kind::Repeatable, false, 0)));
+    assert!(backup.unserved(now, failed(RequestKind::Idempotent, false, 0)));
     let part = |backup: &mut Backup, from: Micros, serves: bool| {
         let mut first = 0;
         for n in 0..1000 {
@@ -75,7 +75,7 @@
                 first += 1;
                 match serves {
                     true => backup.served(now),
-                    false => drop(backup.unserved(now, failed(Kind::Repeatable, false, 0))),
+                    false => drop(backup.unserved(now, failed(RequestKind::Idempotent, false, 0))),
                 }
             }
         }
@@ -90,7 +90,7 @@
     assert_eq!(*parts.last().expect("some"), 1000, "all the way back: {parts:?}");
     // It flaps: out, tried, out again; each wait is twice the one before.
     now = Micros::ms(20_000);
-    assert!(backup.unserved(now, failed(Kind::Repeatable, false, 0)));
+    assert!(backup.unserved(now, failed(RequestKind::Idempotent, false, 0)));
     let tried: Vec<i32> = (0..32).map(|s| part(&mut backup, now + Micros::ms(s * 1000), false)).collect();
     let seconds: Vec<usize> = tried.iter().enumerate().filter(|t| *t.1 > 0).map(|t| t.0).collect();
     assert!(seconds.len() <= 5 && seconds.iter().all(|s| tried[*s] <= 2), "{tried:?}");
--- a/crates/settings/src/file/mod.rs
+++ b/crates/settings/src/file/mod.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use notchspool::units::{Micros, Scheme, Terms};
+use notchspool::units::{Micros, Policy, RequestClass};
 use notchspool_routes::table::Rule;
 
 pub use read::read;
@@ -47,7 +47,7 @@
 #[derive(Clone, Debug)]
 pub struct Pool {
     pub name: String,
-    pub terms: Terms,
+    pub terms: Policy,
     pub members: Vec<Member>,
     pub protocol: Protocol,
     /// Followed instead of members that are written down.
@@ -73,7 +73,7 @@
 #[derive(Clone, Debug)]
 pub struct Row {
     pub name: String,
-    pub scheme: Scheme,
+    pub scheme: RequestClass,
     pub expiry: Micros,
     /// The header that carries a reference, in small letters.
     pub reference: Option<String>,
--- a/crates/settings/src/file/read.rs
+++ b/crates/settings/src/file/read.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::ops::Range;
 
-use notchspool::units::{Group, Kind, Micros, Scheme, Terms};
+use notchspool::units::{DeduplicationScope, Micros, Policy, RequestClass, RequestKind};
 use notchspool_routes::table::{Host, Path, Rule, Segment, Table, segments};
 use toml::Spanned;
 
@@ -232,20 +232,20 @@
         }
         read.push(Row {
             name,
-            scheme: Scheme {
+            scheme: RequestClass {
                 kind: match row.kind {
-                    form::Kind::Repeatable => Kind::Repeatable,
-                    form::Kind::Referenced => Kind::Referenced,
-                    form::Kind::OnceOnly => Kind::OnceOnly,
+                    form::Kind::Repeatable => RequestKind::Idempotent,
+                    form::Kind::Referenced => RequestKind::Keyed,
+                    form::Kind::OnceOnly => RequestKind::NonIdempotent,
                 },
-                group: match row.group {
-                    None | Some(form::Group::All) => Group::All,
-                    Some(form::Group::Zone) => Group::Zone,
-                    Some(form::Group::Cell) => Group::Cell,
+                scope: match row.group {
+                    None | Some(form::Group::All) => DeduplicationScope::All,
+                    Some(form::Group::Zone) => DeduplicationScope::Zone,
+                    Some(form::Group::Cell) => DeduplicationScope::Cell,
                 },
-                window: ms(row.window_ms.as_ref().map_or(0.0, |w| seen.within(w, 0.0, HOUR))),
-                sla: ms(sla),
-                overdue: seen.within(&row.overdue_value, 0.0, 1.0),
+                deduplication_window: ms(row.window_ms.as_ref().map_or(0.0, |w| seen.within(w, 0.0, HOUR))),
+                latency_target: ms(sla),
+                late_value: seen.within(&row.overdue_value, 0.0, 1.0),
             },
             expiry: ms(expiry),
             reference: row.reference.as_ref().map(|r| r.get_ref().to_ascii_lowercase()),
@@ -312,31 +312,31 @@
         let idle_close = ms(seen.within(&row.idle_close_ms, 1.0, 24.0 * HOUR));
         read.push(Pool {
             name: name.clone(),
-            terms: Terms {
-                agents: seen.count(&row.agents, 1, 1_000_000),
+            terms: Policy {
+                agent_count: seen.count(&row.agents, 1, 1_000_000),
                 zone,
-                schemes: schemes.iter().map(|s| s.scheme.clone()).collect(),
-                max_postings: seen.count(&row.max_postings, 1, 1000),
+                classes: schemes.iter().map(|s| s.scheme.clone()).collect(),
+                max_attempts: seen.count(&row.max_postings, 1, 1000),
                 drain_grace: Some(ms(seen.within(&row.drain_grace_ms, 0.0, HOUR))),
                 // Asked more often, a register has nothing else to do.
-                ask_within: ms(seen.within(&row.ask_within_ms, 500.0, HOUR)),
+                watch_within: ms(seen.within(&row.ask_within_ms, 500.0, HOUR)),
                 list_on_request: row.register.is_some(),
-                cold_from: seen.within(&cold.from, 0.01, 1.0),
-                cold_span: ms(seen.within(&cold.warm_ms, 0.0, HOUR)),
-                fall_multiple: seen.within(&cold.multiple, 0.1, 1000.0),
-                fall_span: ms(seen.within(&cold.within_ms, 1.0, HOUR)),
+                warmup_floor: seen.within(&cold.from, 0.01, 1.0),
+                warmup_span: ms(seen.within(&cold.warm_ms, 0.0, HOUR)),
+                warmup_multiple: seen.within(&cold.multiple, 0.1, 1000.0),
+                warmup_window: ms(seen.within(&cold.within_ms, 1.0, HOUR)),
                 retry_after: (retry_after > Micros(0)).then_some(retry_after),
                 may_probe: row.probes,
                 may_cancel: true,
                 report_by_probe: row.probes,
                 probe_price: 0.04,
                 tick: Micros::ms(5),
-                idle_close,
-                live_weights: *row.live_weights.get_ref(),
-                kept_promises: f64::from(row.keeps_promises),
-                peers: !quotas.is_empty(),
+                idle_timeout: idle_close,
+                weights_follow_load: *row.live_weights.get_ref(),
+                in_time_weight: f64::from(row.keeps_promises),
+                has_peers: !quotas.is_empty(),
                 quotas,
-                ..Terms::default()
+                ..Policy::default()
             },
             members,
             protocol: row.protocol,
@@ -477,7 +477,7 @@
 /// A once-only txn must not be one that others repeat by themselves; a reference must come back to who remembers it.
 fn repeatable_by_mistake(seen: &mut Seen, row: &form::Route, scheme: &Row, sticky: &Sticky, pools: usize) {
     let kind = scheme.scheme.kind;
-    if kind == Kind::OnceOnly {
+    if kind == RequestKind::NonIdempotent {
         let safe = ["GET", "HEAD", "OPTIONS", "TRACE"];
         if row.method.is_empty() {
             seen.wrong(
@@ -493,7 +493,7 @@
         }
     }
     let reference = scheme.reference.clone().unwrap_or_default();
-    if kind == Kind::Referenced && pools > 1 && *sticky != Sticky::Header(reference.clone()) {
+    if kind == RequestKind::Keyed && pools > 1 && *sticky != Sticky::Header(reference.clone()) {
         seen.wrong(
             row.scheme.span(),
             format!("a referenced scheme over several pools wants `sticky = \"header:{reference}\"`: a repeat must come \
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -11,7 +11,7 @@
 
 /// The settings of one instance: the module's terms, and the names and figures that only a host needs.
 pub struct Agreed {
-    pub terms: Terms,
+    pub terms: Policy,
     pub zones: Vec<String>,
     pub schemes: Vec<String>,
     pub tenants: Vec<String>,
@@ -34,23 +34,23 @@
     ZoneId(at as u32)
 }
 
-fn scheme(row: &Value) -> Read<Scheme> {
-    Ok(Scheme {
+fn scheme(row: &Value) -> Read<RequestClass> {
+    Ok(RequestClass {
         kind: match text(row, "repeat")? {
-            "safe" => Kind::Repeatable,
-            "keyed" => Kind::Referenced,
-            "unsafe" => Kind::OnceOnly,
+            "safe" => RequestKind::Idempotent,
+            "keyed" => RequestKind::Keyed,
+            "unsafe" => RequestKind::NonIdempotent,
             other => return Err(format!("field `repeat`: `{other}` is not known")),
         },
-        group: match row["group"].as_str().unwrap_or("all") {
-            "all" => Group::All,
-            "zone" => Group::Zone,
-            "cell" => Group::Cell,
+        scope: match row["group"].as_str().unwrap_or("all") {
+            "all" => DeduplicationScope::All,
+            "zone" => DeduplicationScope::Zone,
+            "cell" => DeduplicationScope::Cell,
             other => return Err(format!("field `group`: `{other}` is not known")),
         },
-        window: time(row, "windowMs", Some(0.0))?,
-        sla: time(row, "slaTimeMs", None)?,
-        overdue: within(row, "overdueValue", 1.0, 0.0, 1.0)?,
+        deduplication_window: time(row, "windowMs", Some(0.0))?,
+        latency_target: time(row, "slaTimeMs", None)?,
+        late_value: within(row, "overdueValue", 1.0, 0.0, 1.0)?,
     })
 }
 
@@ -64,45 +64,45 @@
     let zone = zone_number(&mut zones, settings["myZone"].as_str().unwrap_or(""));
     let retry_after = time(permissions, "maxRetryAfterMs", Some(0.0))?;
     let agents = within(settings, "balancers", 1.0, 1.0, 1e6)?;
-    let terms = Terms {
-        agents: agents as u32,
+    let terms = Policy {
+        agent_count: agents as u32,
         zone,
-        schemes: rows(settings, "schemes")?.iter().map(scheme).collect::<Read<_>>()?,
-        max_postings: number(permissions, "maxPostings", Some(1.0))? as u32,
+        classes: rows(settings, "schemes")?.iter().map(scheme).collect::<Read<_>>()?,
+        max_attempts: number(permissions, "maxPostings", Some(1.0))? as u32,
         drain_grace: match contract["drainGraceMs"] {
             Value::Null => None,
             _ => Some(time(contract, "drainGraceMs", None)?),
         },
-        ask_within: time(contract, "askWithinMs", Some(10_000.0))?,
+        watch_within: time(contract, "askWithinMs", Some(10_000.0))?,
         list_on_request: settings["registryMode"].as_str() == Some("on_request"),
-        cold_from: number(contract, "coldFrom", Some(1.0))?,
-        cold_span: time(contract, "coldMs", Some(0.0))?,
-        fall_multiple: number(contract, "fallMultiple", Some(1.0))?,
-        fall_span: time(contract, "fallMs", Some(1000.0))?,
+        warmup_floor: number(contract, "coldFrom", Some(1.0))?,
+        warmup_span: time(contract, "coldMs", Some(0.0))?,
+        warmup_multiple: number(contract, "fallMultiple", Some(1.0))?,
+        warmup_window: time(contract, "fallMs", Some(1000.0))?,
         retry_after: flag(permissions, "retryAfter")?.then_some(retry_after),
         may_cancel: flag(permissions, "cancel")?,
         may_probe: flag(permissions, "probes")?,
         report_by_probe: settings["loadReport"]["via"].as_str() == Some("probe"),
-        live_weights: match settings["weightKind"].as_str().unwrap_or("nominal") {
+        weights_follow_load: match settings["weightKind"].as_str().unwrap_or("nominal") {
             "live" => true,
             "none" | "nominal" | "rough" => false,
             other => return Err(format!("field `weightKind`: `{other}` is not known")),
         },
-        idle_close: time(permissions, "idleCloseMs", Some(15_000.0))?,
-        peers: flag(permissions, "peers")?,
-        me: PeerId(within(settings, "selfIndex", 0.0, 0.0, agents - 1.0)? as u32),
-        kept_promises: within(&settings["scoreParts"], "keptPromises", 0.0, 0.0, 1e9)?,
+        idle_timeout: time(permissions, "idleCloseMs", Some(15_000.0))?,
+        has_peers: flag(permissions, "peers")?,
+        own_id: PeerId(within(settings, "selfIndex", 0.0, 0.0, agents - 1.0)? as u32),
+        in_time_weight: within(&settings["scoreParts"], "keptPromises", 0.0, 0.0, 1e9)?,
         quotas: rows(settings, "realms")?
             .iter()
             .map(|row| within(row, "quotaPerS", f64::MAX, 0.0, f64::MAX))
             .collect::<Read<_>>()?,
         probe_price: number(costs, "probe", Some(0.0))?,
         tick: time(settings, "tickMs", Some(1.0))?,
-        ..Terms::default()
+        ..Policy::default()
     };
     let allowed = [
         (
-            terms.peers,
+            terms.has_peers,
             "messages between agents are not carried here: shares are judged by what comes to this agent",
         ),
         (flag(permissions, "secondCopies")?, "second copies are allowed, and none is sent"),
@@ -129,7 +129,7 @@
 }
 
 /// One reported figure, by its name in the settings or on the sockets. None is below nothing.
-pub fn put(report: &mut Report, field: &str, value: f64) {
+pub fn put(report: &mut LoadReport, field: &str, value: f64) {
     match field {
         _ if value < 0.0 => {}
         "busy" | "util" => report.utilisation = Some(value),
@@ -142,9 +142,9 @@
 
 /// A report as it stands on the sockets: `TEXT util=0.61, inflight=7`. What is no finite number is left out;
 /// a report with nothing left is none, and the one before it stands.
-pub fn report_line(line: &str) -> Option<Report> {
+pub fn report_line(line: &str) -> Option<LoadReport> {
     let figures = line.trim().strip_prefix("TEXT")?;
-    let mut report = Report::default();
+    let mut report = LoadReport::default();
     for figure in figures.split(',') {
         if let Some((name, value)) = figure.split_once('=')
             && let Some(value) = value.trim().parse().ok().filter(|v: &f64| v.is_finite())
--- a/crates/settings/tests/file.rs
+++ b/crates/settings/tests/file.rs
@@ -2,7 +2,7 @@
 //! mistakes say, behind `#= `, what is wanted.
 use std::path::PathBuf;
 
-use notchspool::units::{Kind, Micros};
+use notchspool::units::{Micros, RequestKind};
 use notchspool_settings::file::{Place, Sticky, read};
 use rstest::rstest;
 
@@ -21,12 +21,15 @@
     let house = read("agent.toml", text).unwrap_or_else(|wrong| panic!("{}", wrong[0]));
     assert_eq!(house.doors[1].at, Place::Unix("notchspool.sock".into()));
     assert_eq!(house.pools[0].backup, Some(1));
-    assert_eq!((house.pools[0].members.len(), house.pools[0].terms.max_postings), (2, 3));
+    assert_eq!((house.pools[0].members.len(), house.pools[0].terms.max_attempts), (2, 3));
     assert!(house.pools[2].register.is_some() && house.pools[2].terms.list_on_request);
     let judged = &house.pools[0].terms;
-    assert!(judged.peers && judged.quotas == [200.0, f64::MAX] && judged.kept_promises == 0.0, "{judged:?}");
-    assert!(!house.pools[2].terms.peers && !house.pools[2].terms.live_weights);
-    assert_eq!(house.schemes[2].scheme.kind, Kind::OnceOnly);
+    assert!(
+        judged.has_peers && judged.quotas == [200.0, f64::MAX] && judged.in_time_weight == 0.0,
+        "{judged:?}"
+    );
+    assert!(!house.pools[2].terms.has_peers && !house.pools[2].terms.weights_follow_load);
+    assert_eq!(house.schemes[2].scheme.kind, RequestKind::NonIdempotent);
     let route = &house.routes[2];
     assert_eq!(route.sticky, Sticky::Header("x-customer".into()));
     assert_eq!((route.pools.clone(), route.expiry), (vec![(0, 0.1), (2, 0.9)], Micros::ms(1500)));
--- a/crates/wirehost/src/actions.rs
+++ b/crates/wirehost/src/actions.rs
@@ -1,7 +1,7 @@
 //! Writes a balancer's actions as wire messages.
 use std::fmt::Write;
 
-use notchspool::units::{BackendId, Micros, Outlet, PeerId, TxnRef};
+use notchspool::units::{BackendId, Effects, Micros, PeerId, RequestId};
 
 /// The wire names of an instance's backends, by the numbers its balancer knows them under.
 #[derive(Default)]
@@ -47,16 +47,16 @@
     span.0 as f64 / 1000.0
 }
 
-impl Outlet for Wire<'_> {
-    fn post(&mut self, txn: TxnRef, to: BackendId, until: Micros) {
+impl Effects for Wire<'_> {
+    fn send(&mut self, txn: RequestId, to: BackendId, until: Micros) {
         let name = self.backend(to).to_owned();
         let until = ms(until);
         self.action("forward", format_args!(r#","call":{},"backend":{name},"tryUntilMs":{until}"#, txn.0));
     }
-    fn cancel(&mut self, txn: TxnRef, posting: u32) {
+    fn cancel(&mut self, txn: RequestId, posting: u32) {
         self.action("cancel", format_args!(r#","call":{},"attempt":{posting}"#, txn.0));
     }
-    fn decline(&mut self, txn: TxnRef, away: Option<Micros>) {
+    fn reject(&mut self, txn: RequestId, away: Option<Micros>) {
         match away {
             Some(away) => {
                 self.action("notNow", format_args!(r#","call":{},"retryAfterMs":{}"#, txn.0, ms(away)))
@@ -64,7 +64,7 @@
             None => self.action("notNow", format_args!(r#","call":{}"#, txn.0)),
         }
     }
-    fn reverse(&mut self, txn: TxnRef) {
+    fn fail(&mut self, txn: RequestId) {
         self.action("lose", format_args!(r#","call":{}"#, txn.0));
     }
     fn probe(&mut self, backend: BackendId) {
@@ -74,18 +74,18 @@
     fn watch(&mut self) {
         self.action("observe", format_args!(r#","on":true"#));
     }
-    fn wake_in(&mut self, span: Micros) {
+    fn wake_after(&mut self, span: Micros) {
         self.action("setTimer", format_args!(r#","keyBack":1,"spanMs":{}"#, ms(span)));
     }
-    fn tell(&mut self, peer: PeerId, line: &str) {
+    fn send_to_peer(&mut self, peer: PeerId, line: &str) {
         let line = serde_json::Value::from(line);
         self.action("notify", format_args!(r#","target":{},"octets":{line}"#, peer.0));
     }
-    fn trim(&mut self, backend: BackendId) {
+    fn close_idle(&mut self, backend: BackendId) {
         let name = self.backend(backend).to_owned();
         self.action("freeLinks", format_args!(r#","backend":{name}"#));
     }
-    fn note(&mut self, line: &str) {
+    fn log(&mut self, line: &str) {
         let line = serde_json::Value::from(line);
         self.action("remark", format_args!(r#","line":{line}"#));
     }
--- a/crates/wirehost/src/host.rs
+++ b/crates/wirehost/src/host.rs
@@ -1,7 +1,7 @@
 //! Turns wire events into calls. Each decoded field goes straight into the call it belongs to.
 use std::collections::BTreeMap;
 
-use notchspool::logic::Balancer;
+use notchspool::balancer::Balancer;
 use notchspool::units::*;
 use notchspool_settings::read::*;
 use notchspool_settings::{Agreed, agreed, put, zone_number};
@@ -27,16 +27,16 @@
     ledgers: BTreeMap<u64, Vec<Value>>,
 }
 
-fn fate(event: &Value) -> Read<Fate> {
+fn fate(event: &Value) -> Read<AttemptOutcome> {
     Ok(match text(event, "disposition")? {
-        "GOOD" => Fate::Settled,
-        "BAD" => Fate::Errored,
-        "FULL" => Fate::TurnedAway,
-        "LATE" => Fate::TimedOut,
-        "NOCONN" => Fate::NoLink,
-        "RST" => Fate::Broken,
-        "CXL" => Fate::Withdrawn,
-        "NOP" => Fate::NeverSent,
+        "GOOD" => AttemptOutcome::Succeeded,
+        "BAD" => AttemptOutcome::Failed,
+        "FULL" => AttemptOutcome::Rejected,
+        "LATE" => AttemptOutcome::TimedOut,
+        "NOCONN" => AttemptOutcome::ConnectFailed,
+        "RST" => AttemptOutcome::ConnectionLost,
+        "CXL" => AttemptOutcome::Cancelled,
+        "NOP" => AttemptOutcome::NotSent,
         other => return Err(format!("field `disposition`: `{other}` is not known")),
     })
 }
@@ -103,7 +103,7 @@
         let Agreed { terms, zones, schemes, tenants, report_fields, .. } = agreed(&event["facts"])?;
         Ok(Instance {
             quoted: Value::from(id).to_string(),
-            balancer: Balancer::open(terms, whole(event, "entropy")?, now),
+            balancer: Balancer::new(terms, whole(event, "entropy")?, now),
             names: Names::default(),
             zones,
             schemes,
@@ -130,9 +130,9 @@
             let name = text(event, "backend")?;
             names.find(name).ok_or_else(|| format!("field `backend`: `{name}` is not known"))
         };
-        let txn = || whole(event, "call").map(TxnRef);
+        let txn = || whole(event, "call").map(RequestId);
         let mut wire = Wire { reply, instance: quoted, names };
-        balancer.clock(now);
+        balancer.set_clock(now);
         match what {
             "order" => {
                 let name = text(event, "priority")?;
@@ -143,38 +143,38 @@
                 let expiry = time(event, "notAfterMs", None)?;
                 let owner = event["owner"].as_str();
                 let tenant = owner.and_then(|name| tenants.iter().position(|t| t == name)).map(TenantId);
-                balancer.take(txn()?, SchemeId(scheme), expiry).of(tenant).route(&mut wire);
+                balancer.begin(txn()?, ClassId(scheme), expiry).with_tenant(tenant).route(&mut wire);
             }
             "reportBack" => {
                 let (backend, fate) = (backend()?, fate(event)?);
                 let (posting, took) = (whole(event, "attempt")?, time(event, "tookMs", Some(0.0))?);
                 let closed = flag(event, "noMore")?;
-                balancer.reported(backend, report);
-                if let Some(handle) = balancer.txn(txn()?) {
-                    handle.returned(posting as u32, fate, took, closed, &mut wire);
+                balancer.on_load_report(backend, report);
+                if let Some(handle) = balancer.request(txn()?) {
+                    handle.on_attempt_end(posting as u32, fate, took, closed, &mut wire);
                 }
             }
             "expired" => {
-                if let Some(handle) = balancer.txn(txn()?) {
-                    handle.left(&mut wire);
+                if let Some(handle) = balancer.request(txn()?) {
+                    handle.on_client_left(&mut wire);
                 }
             }
-            "wake" => balancer.wake(&mut wire),
-            "whisper" => balancer.heard(text(event, "octets")?),
+            "wake" => balancer.on_wake(&mut wire),
+            "whisper" => balancer.on_peer_rates(text(event, "octets")?),
             _ => {
                 let (backend, fate) = (backend()?, fate(event)?);
-                balancer.reported(backend, report);
-                balancer.probed(backend, fate);
+                balancer.on_load_report(backend, report);
+                balancer.on_probe_result(backend, fate);
             }
         }
         Ok(())
     }
 
-    fn report(&self, event: &Value) -> Read<Option<Report>> {
+    fn report(&self, event: &Value) -> Read<Option<LoadReport>> {
         if event["report"].is_null() {
             return Ok(None);
         }
-        let mut report = Report::default();
+        let mut report = LoadReport::default();
         for (field, value) in self.report_fields.iter().zip(rows(event, "report")?) {
             let Some(value) = value.as_f64() else { continue };
             put(&mut report, field, value);
@@ -202,29 +202,29 @@
             let lines = ledgers.get(&slot).ok_or_else(|| format!("field `slot`: no ledger {slot}"))?;
             for line in lines {
                 let standing = match text(line, "readiness")? {
-                    "Ready" => Standing::Ready,
-                    "Terminating" => Standing::Draining,
-                    "Gone" => Standing::Gone,
+                    "Ready" => EndpointStatus::Ready,
+                    "Terminating" => EndpointStatus::Draining,
+                    "Gone" => EndpointStatus::Gone,
                     other => return Err(format!("field `readiness`: `{other}` is not known")),
                 };
-                entries.push(Entry {
+                entries.push(ListEntry {
                     backend: self.names.number(text(line, "backend")?),
                     zone: zone_number(&mut self.zones, line["site"].as_str().unwrap_or("")),
                     cell: CellId(line["cell"].as_i64().unwrap_or(0)),
-                    standing,
+                    status: standing,
                     model: ModelId(zone_number(&mut self.models, line["model"].as_str().unwrap_or("")).0),
                     started: time(line, "startedAtMs", Some(0.0))?,
                     size: number(line, "powerHint", Some(1.0))?,
                 });
             }
         }
-        self.balancer.clock(now);
+        self.balancer.set_clock(now);
         let mut wire = Wire { reply, instance: &self.quoted, names: &self.names };
         match refresh {
             Some(refresh) => {
-                self.balancer.listed(refresh, Generation(whole(event, "generation")?), &entries, &mut wire)
+                self.balancer.on_list(refresh, Generation(whole(event, "generation")?), &entries, &mut wire)
             }
-            None => self.balancer.list_failed(),
+            None => self.balancer.on_list_failed(),
         }
         Ok(())
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,19 +1,25 @@
-//! notchspool: the decisions of a client-side load balancer, free of I/O. Start with [`logic`].
-mod asking;
-mod book;
-mod desk;
-mod gate;
-mod gauge;
-mod health;
-pub mod heir;
-mod listing;
-pub mod logic;
-mod pick;
-mod rates;
-mod strain;
-pub mod tally;
-mod trust;
+//! The decisions of a client-side load balancer, free of I/O.
+//!
+//! A host creates a [`balancer::Balancer`] with its [`units::Policy`], tells it of endpoint lists, load reports, requests and the
+//! ends of attempts, and carries out what comes back through [`units::Effects`]. All chance comes from the seed: the same calls
+//! give the same decisions.
+#![warn(missing_docs)]
+
+mod backend_state;
+pub mod balancer;
+mod concurrency_limit;
+mod concurrency_window;
+mod endpoint_list;
+pub mod histogram;
+mod idle_connections;
+mod outlier_detection;
+mod probe_budget;
+pub mod request;
+mod selection;
+mod send_rules;
+pub mod state_transfer;
+mod statistics;
+pub mod tenant_rates;
+mod timers;
 pub mod units;
-mod wait;
-mod watch;
-mod window;
+mod watch_backoff;
--- a/tests/conformance.rs
+++ b/tests/conformance.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use notchspool::logic::Balancer;
+use notchspool::balancer::Balancer;
 use notchspool::units::*;
 use table::{Row, names, rows};
 
@@ -13,30 +13,30 @@
     now: i64,
     wake: Option<i64>,
     sent: BTreeMap<u64, (u32, BackendId)>,
-    postings: BTreeMap<u64, u32>,
+    attempts: BTreeMap<u64, u32>,
     went: BTreeMap<u32, u32>,
     watches: Vec<i64>,
 }
-impl Outlet for Stage {
-    fn post(&mut self, txn: TxnRef, to: BackendId, _: Micros) {
-        let nth = self.postings.entry(txn.0).or_default();
-        self.sent.insert(txn.0, (*nth, to));
+impl Effects for Stage {
+    fn send(&mut self, request: RequestId, to: BackendId, _: Micros) {
+        let nth = self.attempts.entry(request.0).or_default();
+        self.sent.insert(request.0, (*nth, to));
         *nth += 1;
         *self.went.entry(to.0).or_default() += 1;
     }
-    fn cancel(&mut self, _: TxnRef, _: u32) {}
-    fn decline(&mut self, _: TxnRef, _: Option<Micros>) {}
-    fn reverse(&mut self, _: TxnRef) {}
+    fn cancel(&mut self, _: RequestId, _: u32) {}
+    fn reject(&mut self, _: RequestId, _: Option<Micros>) {}
+    fn fail(&mut self, _: RequestId) {}
     fn probe(&mut self, _: BackendId) {}
     fn watch(&mut self) {
         self.watches.push(self.now);
     }
-    fn wake_in(&mut self, span: Micros) {
+    fn wake_after(&mut self, span: Micros) {
         self.wake = Some(self.now + span.0 / 1000);
     }
-    fn tell(&mut self, _: PeerId, _: &str) {}
-    fn trim(&mut self, _: BackendId) {}
-    fn note(&mut self, _: &str) {}
+    fn send_to_peer(&mut self, _: PeerId, _: &str) {}
+    fn close_idle(&mut self, _: BackendId) {}
+    fn log(&mut self, _: &str) {}
 }
 
 struct Play {
@@ -52,37 +52,37 @@
     BackendId(name.trim_start_matches('s').parse().expect("a backend"))
 }
 
-fn terms(grace: Option<i64>) -> Terms {
-    let row = Scheme {
-        kind: Kind::Repeatable,
-        group: Group::All,
-        window: Micros(0),
-        sla: Micros::ms(500),
-        overdue: 1.0,
+fn policy(grace: Option<i64>) -> Policy {
+    let row = RequestClass {
+        kind: RequestKind::Idempotent,
+        scope: DeduplicationScope::All,
+        deduplication_window: Micros(0),
+        latency_target: Micros::ms(500),
+        late_value: 1.0,
     };
-    Terms {
-        agents: 1,
+    Policy {
+        agent_count: 1,
         zone: ZoneId(0),
-        schemes: vec![row],
-        max_postings: 3,
+        classes: vec![row],
+        max_attempts: 3,
         drain_grace: grace.map(Micros::ms),
-        ask_within: Micros::ms(10_000),
+        watch_within: Micros::ms(10_000),
         list_on_request: true,
-        cold_from: 0.3,
-        cold_span: Micros::ms(8_000),
-        fall_multiple: 3.0,
-        fall_span: Micros::ms(1_500),
+        warmup_floor: 0.3,
+        warmup_span: Micros::ms(8_000),
+        warmup_multiple: 3.0,
+        warmup_window: Micros::ms(1_500),
         retry_after: Some(Micros::ms(1_000)),
         may_cancel: true,
         tick: Micros::ms(5),
-        ..Terms::default()
+        ..Policy::default()
     }
 }
 
 impl Play {
     fn new(row: &Row, seed: u64) -> Play {
         let grace = row.lines.iter().find(|l| l[0] == "grace").map(|l| l[1].parse().expect("a time"));
-        let desk = Balancer::open(terms(grace), seed, Micros(0));
+        let desk = Balancer::new(policy(grace), seed, Micros(0));
         let (sizes, started, reports) = Default::default();
         let mut play = Play { desk, stage: Stage::default(), next: 0, sizes, started, reports };
         // Not at the start of all clocks: those listed with a start of nought are warm by then.
@@ -92,31 +92,31 @@
     fn to(&mut self, ms: i64) {
         while let Some(due) = self.stage.wake.filter(|&due| due <= ms) {
             (self.stage.now, self.stage.wake) = (due.max(self.stage.now), None);
-            self.desk.clock(Micros::ms(self.stage.now));
-            self.desk.wake(&mut self.stage);
+            self.desk.set_clock(Micros::ms(self.stage.now));
+            self.desk.on_wake(&mut self.stage);
         }
         self.stage.now = ms;
-        self.desk.clock(Micros::ms(ms));
+        self.desk.set_clock(Micros::ms(ms));
     }
     fn list(&mut self, version: u64, how: Refresh, words: &[String]) {
         let entry = |word: &String| {
             let (name, standing) = word.split_once(':').unwrap_or((word, ""));
             let backend = id(name);
-            Entry {
+            ListEntry {
                 backend,
                 zone: ZoneId(0),
                 size: self.sizes.get(&backend.0).copied().unwrap_or(1.0),
                 started: Micros::ms(self.started.get(&backend.0).copied().unwrap_or(0)),
-                standing: match standing {
-                    "gone" => Standing::Gone,
-                    "draining" => Standing::Draining,
-                    _ => Standing::Ready,
+                status: match standing {
+                    "gone" => EndpointStatus::Gone,
+                    "draining" => EndpointStatus::Draining,
+                    _ => EndpointStatus::Ready,
                 },
-                ..Entry::default()
+                ..ListEntry::default()
             }
         };
-        let entries: Vec<Entry> = names(words).iter().map(entry).collect();
-        self.desk.listed(how, Generation(version), &entries, &mut self.stage);
+        let entries: Vec<ListEntry> = names(words).iter().map(entry).collect();
+        self.desk.on_list(how, Generation(version), &entries, &mut self.stage);
     }
     /// `rounds` times as many txns at once as fill all backends, answered in `took`; who got how many.
     fn flow(&mut self, rounds: usize, at_once: usize, took: i64) -> BTreeMap<u32, u32> {
@@ -125,16 +125,25 @@
             for _ in 0..at_once {
                 self.next += 1;
                 let expiry = Micros::ms(self.stage.now + 2_000);
-                self.desk.take(TxnRef(self.next), SchemeId(0), expiry).of(None).route(&mut self.stage);
+                self.desk
+                    .begin(RequestId(self.next), ClassId(0), expiry)
+                    .with_tenant(None)
+                    .route(&mut self.stage);
             }
             self.to(self.stage.now + took);
-            for (txn, (posting, to)) in std::mem::take(&mut self.stage.sent) {
+            for (request, (attempt, to)) in std::mem::take(&mut self.stage.sent) {
                 if let Some(Some(busy)) = self.reports.get(&to.0) {
-                    let report = Report { utilisation: Some(*busy), ..Report::default() };
-                    self.desk.reported(to, Some(report));
+                    let report = LoadReport { utilisation: Some(*busy), ..LoadReport::default() };
+                    self.desk.on_load_report(to, Some(report));
                 }
-                if let Some(txn) = self.desk.txn(TxnRef(txn)) {
-                    txn.returned(posting, Fate::Settled, Micros::ms(took), true, &mut self.stage);
+                if let Some(request) = self.desk.request(RequestId(request)) {
+                    request.on_attempt_end(
+                        attempt,
+                        AttemptOutcome::Succeeded,
+                        Micros::ms(took),
+                        true,
+                        &mut self.stage,
+                    );
                 }
             }
         }
@@ -154,7 +163,7 @@
                 }
             }
             "lost" => (0..number(1)).for_each(|_| {
-                self.desk.list_failed();
+                self.desk.on_list_failed();
                 let soon = self.stage.now + 50;
                 self.to(soon);
             }),
@@ -183,7 +192,7 @@
                 let first = |seed| {
                     let mut play = Play::new(&Row { name: String::new(), lines: Vec::new() }, seed);
                     play.list(1, Refresh::Full, &["s1..s4".to_owned()]);
-                    play.desk.list_failed();
+                    play.desk.on_list_failed();
                     play.stage.watches.clear();
                     let from = play.stage.now;
                     for _ in 0..400 {
@@ -252,8 +261,8 @@
     let report = |play: &mut Play, reported: &BTreeMap<u32, Option<f64>>| {
         for (backend, busy) in reported {
             if let Some(busy) = busy {
-                let report = Report { utilisation: Some(*busy), ..Report::default() };
-                play.desk.reported(BackendId(*backend), Some(report));
+                let report = LoadReport { utilisation: Some(*busy), ..LoadReport::default() };
+                play.desk.on_load_report(BackendId(*backend), Some(report));
             }
         }
     };
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -2,7 +2,7 @@
 //! asserted are sums over the fleet: postings to one backend in a span, postings out, declines. All chance from seeds.
 use std::collections::{BTreeMap, VecDeque};
 
-use notchspool::logic::Balancer;
+use notchspool::balancer::Balancer;
 use notchspool::units::*;
 use oorandom::Rand64;
 
@@ -12,7 +12,7 @@
 /// What one agent asked for, to be carried out by the fleet.
 #[derive(Default)]
 struct Out {
-    posts: Vec<(TxnRef, BackendId)>,
+    sends: Vec<(RequestId, BackendId)>,
     declined: usize,
     reversed: usize,
     watches: usize,
@@ -20,37 +20,37 @@
     counts: Vec<&'static str>,
 }
 
-impl Outlet for Out {
-    fn post(&mut self, txn: TxnRef, to: BackendId, _: Micros) {
-        self.posts.push((txn, to));
+impl Effects for Out {
+    fn send(&mut self, request: RequestId, to: BackendId, _: Micros) {
+        self.sends.push((request, to));
     }
-    fn cancel(&mut self, _: TxnRef, _: u32) {}
-    fn decline(&mut self, _: TxnRef, _: Option<Micros>) {
+    fn cancel(&mut self, _: RequestId, _: u32) {}
+    fn reject(&mut self, _: RequestId, _: Option<Micros>) {
         self.declined += 1;
     }
-    fn reverse(&mut self, _: TxnRef) {
+    fn fail(&mut self, _: RequestId) {
         self.reversed += 1;
     }
     fn probe(&mut self, _: BackendId) {}
     fn watch(&mut self) {
         self.watches += 1;
     }
-    fn wake_in(&mut self, span: Micros) {
+    fn wake_after(&mut self, span: Micros) {
         self.wake = Some(span);
     }
-    fn note(&mut self, _: &str) {}
-    fn count(&mut self, what: &'static str) {
+    fn log(&mut self, _: &str) {}
+    fn increment(&mut self, what: &'static str) {
         self.counts.push(what);
     }
 }
 
 /// Two cores, and a line before them: a posting takes `work` of a core at its turn.
 struct Machine {
-    entry: Entry,
+    entry: ListEntry,
     free_at: [i64; 2],
     work: Micros,
     dead: bool,
-    posts: Vec<Micros>,       // when each posting came
+    sends: Vec<Micros>,       // when each posting came
     busy: BTreeMap<i64, i64>, // microseconds of work by half second
 }
 
@@ -67,9 +67,9 @@
         }
     }
     /// What it tells of itself: how busy it was in the last whole half second.
-    fn report(&self, now: Micros) -> Report {
+    fn report(&self, now: Micros) -> LoadReport {
         let busy = self.busy.get(&(now.0 / HALF - 1)).copied().unwrap_or(0) as f64;
-        Report { utilisation: Some(busy / (2 * HALF) as f64), in_flight: None, ..Report::default() }
+        LoadReport { utilisation: Some(busy / (2 * HALF) as f64), in_flight: None, ..LoadReport::default() }
     }
 }
 
@@ -82,9 +82,9 @@
 
 struct Back {
     n: usize,
-    txn: TxnRef,
+    request: RequestId,
     to: BackendId,
-    fate: Fate,
+    outcome: AttemptOutcome,
     took: Micros,
 }
 
@@ -94,7 +94,7 @@
     agents: Vec<Agent>,
     machines: Vec<Machine>,
     coming: BTreeMap<(Micros, u64), Back>,
-    postings: BTreeMap<TxnRef, u32>,
+    attempts: BTreeMap<RequestId, u32>,
     seq: u64,
     counts: BTreeMap<&'static str, usize>, // the sums of all agents' counters
     uneven: bool,
@@ -105,32 +105,32 @@
     out_ms: usize, // postings out, summed over milliseconds
 }
 
-fn terms() -> Terms {
-    Terms {
-        agents: AGENTS as u32,
+fn policy() -> Policy {
+    Policy {
+        agent_count: AGENTS as u32,
         zone: ZoneId(0),
-        schemes: vec![Scheme {
-            kind: Kind::Repeatable,
-            group: Group::All,
-            window: Micros::ms(3_000),
-            sla: Micros::ms(300),
-            overdue: 1.0,
+        classes: vec![RequestClass {
+            kind: RequestKind::Idempotent,
+            scope: DeduplicationScope::All,
+            deduplication_window: Micros::ms(3_000),
+            latency_target: Micros::ms(300),
+            late_value: 1.0,
         }],
-        max_postings: 6,
+        max_attempts: 6,
         drain_grace: Some(Micros::ms(2_000)),
-        ask_within: Micros::ms(10_000),
+        watch_within: Micros::ms(10_000),
         list_on_request: true,
-        cold_from: 0.3,
-        cold_span: Micros::ms(8_000),
-        fall_multiple: 3.0,
-        fall_span: Micros::ms(1_500),
+        warmup_floor: 0.3,
+        warmup_span: Micros::ms(8_000),
+        warmup_multiple: 3.0,
+        warmup_window: Micros::ms(1_500),
         retry_after: Some(Micros::ms(1_500)),
         may_probe: false,
         may_cancel: true,
         report_by_probe: false,
         probe_price: 0.0,
         tick: Micros::ms(1),
-        ..Terms::default()
+        ..Policy::default()
     }
 }
 
@@ -143,7 +143,7 @@
         let mut chance = Rand64::new(seed);
         let agents = (0..AGENTS)
             .map(|n| Agent {
-                desk: Balancer::open(terms(), n as u64 + 1, Micros::ms(1)),
+                desk: Balancer::new(policy(), n as u64 + 1, Micros::ms(1)),
                 wake_at: Micros(i64::MAX),
                 next_txn: Micros::ms(1) + each.times(chance.rand_float()),
                 out: 0,
@@ -155,7 +155,7 @@
             agents,
             machines: Vec::new(),
             coming: BTreeMap::new(),
-            postings: BTreeMap::new(),
+            attempts: BTreeMap::new(),
             seq: 0,
             counts: BTreeMap::new(),
             uneven: false,
@@ -165,19 +165,19 @@
             taken: 0,
             out_ms: 0,
         };
-        let all: Vec<Entry> = (0..machines).map(|n| fleet.machine(n, Micros(0))).collect();
+        let all: Vec<ListEntry> = (0..machines).map(|n| fleet.machine(n, Micros(0))).collect();
         fleet.tell(Refresh::Restored, 0, &all);
         fleet
     }
 
-    fn machine(&mut self, n: u32, started: Micros) -> Entry {
-        let entry = Entry { backend: BackendId(n), started, size: 2.0, ..Entry::default() };
+    fn machine(&mut self, n: u32, started: Micros) -> ListEntry {
+        let entry = ListEntry { backend: BackendId(n), started, size: 2.0, ..ListEntry::default() };
         let machine = Machine {
             entry: entry.clone(),
             free_at: [0; 2],
             work: Micros::ms(40),
             dead: false,
-            posts: Vec::new(),
+            sends: Vec::new(),
             busy: BTreeMap::new(),
         };
         assert_eq!(self.machines.len(), n as usize, "machines come in order");
@@ -186,39 +186,39 @@
     }
 
     /// All agents hear of the list at once.
-    fn tell(&mut self, how: Refresh, version: u64, entries: &[Entry]) {
+    fn tell(&mut self, how: Refresh, version: u64, entries: &[ListEntry]) {
         for n in 0..AGENTS {
-            self.call(n, |desk, out| desk.listed(how, Generation(version), entries, out));
+            self.call(n, |desk, out| desk.on_list(how, Generation(version), entries, out));
         }
     }
 
-    fn changed(&self, which: std::ops::Range<usize>, standing: Standing) -> Vec<Entry> {
-        self.machines[which].iter().map(|m| Entry { standing, ..m.entry.clone() }).collect()
+    fn changed(&self, which: std::ops::Range<usize>, standing: EndpointStatus) -> Vec<ListEntry> {
+        self.machines[which].iter().map(|m| ListEntry { status: standing, ..m.entry.clone() }).collect()
     }
 
     fn call(&mut self, n: usize, call: impl FnOnce(&mut Balancer, &mut Out)) {
         let mut out = Out::default();
-        self.agents[n].desk.clock(self.now);
+        self.agents[n].desk.set_clock(self.now);
         call(&mut self.agents[n].desk, &mut out);
         if let Some(span) = out.wake {
             self.agents[n].wake_at = self.now + span;
         }
         self.declined += out.declined + out.reversed;
         out.counts.into_iter().for_each(|what| *self.counts.entry(what).or_default() += 1);
-        for (txn, to) in out.posts {
-            self.post(n, txn, to);
+        for (request, to) in out.sends {
+            self.post(n, request, to);
         }
     }
 
-    fn post(&mut self, n: usize, txn: TxnRef, to: BackendId) {
+    fn post(&mut self, n: usize, request: RequestId, to: BackendId) {
         self.agents[n].out += 1;
         let m = &mut self.machines[to.0 as usize];
-        m.posts.push(self.now);
-        let (fate, at) = if m.dead {
-            (Fate::TimedOut, self.now + EXPIRY)
+        m.sends.push(self.now);
+        let (outcome, at) = if m.dead {
+            (AttemptOutcome::TimedOut, self.now + EXPIRY)
         } else {
             // A cold one does its work more slowly.
-            let age = (self.now - m.entry.started).over(Micros::ms(8_000));
+            let age = (self.now - m.entry.started).ratio_to(Micros::ms(8_000));
             let warmth = if m.entry.started == Micros(0) { 1.0 } else { (0.3 + 0.7 * age).min(1.0) };
             let noise = 0.5 + self.chance.rand_float();
             let core = usize::from(m.free_at[1] < m.free_at[0]);
@@ -227,12 +227,12 @@
             m.free_at[core] = done;
             m.book(begun, work);
             match Micros(done) - self.now < EXPIRY {
-                true => (Fate::Settled, Micros(done)),
-                false => (Fate::TimedOut, self.now + EXPIRY),
+                true => (AttemptOutcome::Succeeded, Micros(done)),
+                false => (AttemptOutcome::TimedOut, self.now + EXPIRY),
             }
         };
         self.seq += 1;
-        self.coming.insert((at, self.seq), Back { n, txn, to, fate, took: at - self.now });
+        self.coming.insert((at, self.seq), Back { n, request, to, outcome, took: at - self.now });
     }
 
     /// Some agents carry far more than others, where that is played.
@@ -249,31 +249,32 @@
         while self.now < Micros::ms(ms) {
             self.now = self.now + Micros::ms(1);
             while let Some(first) = self.coming.first_entry().filter(|e| e.key().0 <= self.now) {
-                let Back { n, txn, to, fate, took } = first.remove();
-                let report = (fate == Fate::Settled).then(|| self.machines[to.0 as usize].report(self.now));
+                let Back { n, request, to, outcome, took } = first.remove();
+                let report = (outcome == AttemptOutcome::Succeeded)
+                    .then(|| self.machines[to.0 as usize].report(self.now));
                 self.agents[n].out -= 1;
-                self.settled += usize::from(fate == Fate::Settled);
-                let posting = self.postings.entry(txn).or_default();
-                let nth = *posting;
-                *posting += 1;
+                self.settled += usize::from(outcome == AttemptOutcome::Succeeded);
+                let attempt = self.attempts.entry(request).or_default();
+                let nth = *attempt;
+                *attempt += 1;
                 self.call(n, |desk, out| {
-                    desk.reported(to, report);
-                    if let Some(handle) = desk.txn(txn) {
-                        handle.returned(nth, fate, took, false, out);
+                    desk.on_load_report(to, report);
+                    if let Some(handle) = desk.request(request) {
+                        handle.on_attempt_end(nth, outcome, took, false, out);
                     }
                 });
             }
             for n in 0..AGENTS {
                 if self.agents[n].wake_at <= self.now {
                     self.agents[n].wake_at = Micros(i64::MAX);
-                    self.call(n, |desk, out| desk.wake(out));
+                    self.call(n, |desk, out| desk.on_wake(out));
                 }
                 while self.agents[n].next_txn <= self.now {
                     let wait = self.each.times(self.wait_of(n) * -(1.0 - self.chance.rand_float()).ln());
                     self.agents[n].next_txn = self.agents[n].next_txn + wait;
                     (self.seq, self.taken) = (self.seq + 1, self.taken + 1);
-                    let (txn, expiry) = (TxnRef(self.seq), self.now + EXPIRY);
-                    self.call(n, |desk, out| desk.take(txn, SchemeId(0), expiry).route(out));
+                    let (request, expiry) = (RequestId(self.seq), self.now + EXPIRY);
+                    self.call(n, |desk, out| desk.begin(request, ClassId(0), expiry).route(out));
                 }
             }
             self.out_ms += self.agents.iter().map(|a| a.out).sum::<usize>();
@@ -281,9 +282,9 @@
     }
 
     /// Postings of all agents to these machines, from `since` on.
-    fn posts(&self, which: std::ops::Range<usize>, since: i64) -> usize {
+    fn sends(&self, which: std::ops::Range<usize>, since: i64) -> usize {
         let since = Micros::ms(since);
-        self.machines[which].iter().map(|m| m.posts.iter().filter(|&&at| at >= since).count()).sum()
+        self.machines[which].iter().map(|m| m.sends.iter().filter(|&&at| at >= since).count()).sum()
     }
 
     /// The most that came to one machine within `span`, from `since` on.
@@ -291,7 +292,7 @@
         let mut most = 0;
         for m in &self.machines[which] {
             let mut lately = VecDeque::new();
-            for &at in &m.posts {
+            for &at in &m.sends {
                 lately.push_back(at);
                 while lately.front().is_some_and(|&first| at - first >= span) {
                     lately.pop_front();
@@ -311,17 +312,17 @@
     let mut fleet = Fleet::open(30, Micros::ms(100));
     fleet.to(5_000);
     let started = fleet.now;
-    let fresh: Vec<Entry> = (30..48).map(|n| fleet.machine(n, started)).collect();
+    let fresh: Vec<ListEntry> = (30..48).map(|n| fleet.machine(n, started)).collect();
     fleet.tell(Refresh::Delta, 1, &fresh);
-    let leaving = fleet.changed(0..18, Standing::Draining);
+    let leaving = fleet.changed(0..18, EndpointStatus::Draining);
     fleet.tell(Refresh::Delta, 2, &leaving);
     let (settled, taken) = (fleet.settled, fleet.taken);
     fleet.to(8_000);
-    let (cold, old) = (fleet.posts(30..48, 6_000), fleet.posts(18..30, 6_000));
+    let (cold, old) = (fleet.sends(30..48, 6_000), fleet.sends(18..30, 6_000));
     // 18 at nearly half of a warm one's work against 12: a good part of the traffic.
     assert!(cold > old / 4, "{cold} postings to 18 newcomers, {old} to 12 old ones");
     // The counters of all agents tell the same.
-    assert_eq!(fleet.counts.get("postings_cold"), Some(&fleet.posts(30..48, 0)));
+    assert_eq!(fleet.counts.get("postings_cold"), Some(&fleet.sends(30..48, 0)));
     assert!(fleet.counts.get("postings_draining").is_some_and(|&n| n > 0), "{:?}", fleet.counts);
     let part = (fleet.settled - settled) as f64 / (fleet.taken - taken) as f64;
     assert!(part > 0.85, "{part:.2} settled");
@@ -336,19 +337,19 @@
 fn agents_leave_a_draining_backend_one_after_the_other() {
     let mut fleet = Fleet::open(30, Micros::ms(66));
     fleet.to(5_000);
-    let before = fleet.posts(0..10, 4_400);
-    let leaving = fleet.changed(0..10, Standing::Draining);
+    let before = fleet.sends(0..10, 4_400);
+    let leaving = fleet.changed(0..10, EndpointStatus::Draining);
     fleet.tell(Refresh::Delta, 1, &leaving);
     fleet.to(8_000);
     // Much as before for the first third of the grace, then less and less; nothing as the grace ends.
     let (first, later, end) =
-        (fleet.posts(0..10, 5_001), fleet.posts(0..10, 5_650), fleet.posts(0..10, 6_600));
+        (fleet.sends(0..10, 5_001), fleet.sends(0..10, 5_650), fleet.sends(0..10, 6_600));
     assert!(
         2 * (first - later) > before,
         "{} postings in 0.65 s, {before} in the 0.6 s before",
         first - later
     );
-    let half = fleet.posts(0..10, 6_050);
+    let half = fleet.sends(0..10, 6_050);
     assert!(later - half > half, "{} then {half} postings, as agents leave", later - half);
     assert_eq!(end, 0, "postings past 0.8 of the grace");
 }
@@ -360,14 +361,14 @@
     let mut fleet = Fleet::open(30, Micros::ms(80));
     fleet.to(3_000);
     let started = fleet.now;
-    let fresh: Vec<Entry> = (30..48).map(|n| fleet.machine(n, started)).collect();
+    let fresh: Vec<ListEntry> = (30..48).map(|n| fleet.machine(n, started)).collect();
     fleet.tell(Refresh::Delta, 1, &fresh);
     fleet.to(4_000);
-    let leaving = fleet.changed(0..18, Standing::Draining);
+    let leaving = fleet.changed(0..18, EndpointStatus::Draining);
     fleet.tell(Refresh::Delta, 2, &leaving);
     fleet.to(13_000);
     // All are warm from 11 s on.
-    let (new, old) = (fleet.posts(30..48, 11_200) as f64 / 18.0, fleet.posts(18..30, 11_200) as f64 / 12.0);
+    let (new, old) = (fleet.sends(30..48, 11_200) as f64 / 18.0, fleet.sends(18..30, 11_200) as f64 / 12.0);
     assert!(new > 0.5 * old, "{new:.1} postings to a newcomer, {old:.1} to an old one");
 }
 
@@ -400,7 +401,7 @@
     let mut fleet = Fleet::open(12, Micros::ms(60));
     fleet.to(5_000);
     let started = fleet.now;
-    let fresh: Vec<Entry> = (12..24).map(|n| fleet.machine(n, started)).collect();
+    let fresh: Vec<ListEntry> = (12..24).map(|n| fleet.machine(n, started)).collect();
     fleet.tell(Refresh::Delta, 1, &fresh);
     fleet.to(9_000);
     let (at_once, span) =
@@ -416,7 +417,7 @@
     // 30 machines hold up a floor of 72 postings, 4 of 10; 900 txns a second are asked of the 200 that these do.
     let mut fleet = Fleet::open(30, Micros::ms(66));
     fleet.to(4_000);
-    let gone = fleet.changed(0..26, Standing::Gone);
+    let gone = fleet.changed(0..26, EndpointStatus::Gone);
     fleet.tell(Refresh::Delta, 1, &gone);
     fleet.machines[0..26].iter_mut().for_each(|m| m.dead = true);
     fleet.to(8_000);
