--- a/crates/runtime/src/frame_connection.rs
+++ b/crates/runtime/src/frame_connection.rs
@@ -1,6 +1,6 @@
 //! One connection to another process of the mesh: frames in, frames out.
 //!
-//! Writes are gathered. A peer that reads nothing ends the connection once [`MAX_UNSENT_BYTES`] wait; silence ends it where an idle time-out
+//! Writes are gathered. A peer that reads nothing ends the connection once `MAX_UNSENT_BYTES` wait; silence ends it where an idle time-out
 //! is given.
 use std::cell::{Cell, RefCell};
 use std::io::ErrorKind;
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,4 +1,4 @@
-//! What both hosts read alike: the settings object into [`Terms`], load reports into [`Report`].
+//! What both hosts read alike: the settings object into [`notchspool::units::Policy`], load reports into [`notchspool::units::LoadReport`].
 pub mod file;
 pub mod own;
 pub mod place;
