--- a/crates/agent/src/memory/desk.rs
+++ b/crates/agent/src/memory/desk.rs
@@ -157,7 +157,7 @@
         let now = self.clock.now();
         let told = self.pulse.waking(now).unwrap_or(now);
         self.call_at(told, ctx, |balancer, hand| {
-            balancer.on_list(listed.how, listed.version, &listed.entries, hand)
+            balancer.on_list(listed.how, listed.version, &listed.entries, hand);
         });
     }
 }
--- a/crates/agent/src/wire/backend.rs
+++ b/crates/agent/src/wire/backend.rs
@@ -157,7 +157,11 @@
                 .into_actor(self)
                 .map(move |outcome, peer, _| {
                     // Before its last byte came it could not begin: how long that took says nothing of the backend.
-                    let took = rest.rest.as_ref().and_then(|rest| rest.given()).map(|at| at.elapsed());
+                    let took = rest
+                        .rest
+                        .as_ref()
+                        .and_then(super::super::memory::flow::Rest::given)
+                        .map(|at| at.elapsed());
                     peer.returned(txn, posting, outcome, took);
                 });
         self.out.insert((txn, posting), (ctx.spawn(sent), self.used));
--- a/crates/agent/src/wire/caller.rs
+++ b/crates/agent/src/wire/caller.rs
@@ -387,10 +387,10 @@
             let mut room = ReadBuf::new(&mut room[..LATER - self.later.len()]);
             match Pin::new(&mut self.io).poll_read(cx, &mut room) {
                 Poll::Ready(Ok(())) if !room.filled().is_empty() => {
-                    self.later.extend_from_slice(room.filled())
+                    self.later.extend_from_slice(room.filled());
                 }
                 Poll::Pending => break,
-                ended => return ended,
+                ended @ Poll::Ready(_) => return ended,
             }
         }
         self.call.waker.replace(Some(cx.waker().clone()));
--- a/crates/agent/src/wire/fcgi/front.rs
+++ b/crates/agent/src/wire/fcgi/front.rs
@@ -1,4 +1,4 @@
-//! A connection of a FastCGI client: several requests at once, by id, each through the door like any other.
+//! A connection of a `FastCGI` client: several requests at once, by id, each through the door like any other.
 use std::collections::BTreeMap;
 use std::io;
 use std::rc::Rc;
--- a/crates/agent/src/wire/fcgi/link.rs
+++ b/crates/agent/src/wire/fcgi/link.rs
@@ -1,4 +1,4 @@
-//! One connection to a FastCGI server. It writes requests and counts the bytes of each that the system took, reads
+//! One connection to a `FastCGI` server. It writes requests and counts the bytes of each that the system took, reads
 //! answers, and when it ends says of each request whether the server can have begun it.
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/agent/src/wire/fcgi/peer.rs
+++ b/crates/agent/src/wire/fcgi/peer.rs
@@ -1,4 +1,4 @@
-//! The actor of a backend that speaks FastCGI: its address, its connections, the postings out to it.
+//! The actor of a backend that speaks `FastCGI`: its address, its connections, the postings out to it.
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -47,7 +47,7 @@
     gone: bool,
 }
 
-/// Makes peers that speak FastCGI.
+/// Makes peers that speak `FastCGI`.
 pub fn maker(desk: Addr<Desk>, ground: Rc<Ground>) -> Maker {
     Box::new(move |id, at| {
         let links = Rc::new(Links {
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -157,7 +157,7 @@
     let within = Duration::from_millis(asked.patience_ms);
     let mut asker = Asker { client: client(&asked.file)?, json: asked.json, within };
     match asked.what {
-        What::Ls => asker.list().map(|_| ExitCode::SUCCESS),
+        What::Ls => asker.list().map(|()| ExitCode::SUCCESS),
         What::Show { what } => asker.show(&what),
         What::Drain(to) => asker.order(Act::Drain, to),
         What::Undrain(to) => asker.order(Act::Undrain, to),
--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab.rs
@@ -82,7 +82,7 @@
 
 /// Plays drawn days of the mesh, on all cores.
 fn mesh(from: u64, seeds: u64, play: fn(u64) -> Vec<String>, jobs: u64) -> ExitCode {
-    let all = std::thread::available_parallelism().map_or(1, |n| n.get()).min(64) as u64;
+    let all = std::thread::available_parallelism().map_or(1, std::num::NonZero::get).min(64) as u64;
     let threads = if jobs == 0 { all } else { jobs.min(64) };
     let broken: Vec<(u64, Vec<String>)> = std::thread::scope(|scope| {
         let part = move |nth: u64| -> Vec<(u64, Vec<String>)> {
--- a/crates/cli/tests/fastcgi.rs
+++ b/crates/cli/tests/fastcgi.rs
@@ -1,4 +1,4 @@
-//! FastCGI in front of and behind an agent, against stand-ins that fail at every place of a record.
+//! `FastCGI` in front of and behind an agent, against stand-ins that fail at every place of a record.
 mod standins;
 
 use std::io::{Read, Write};
@@ -39,7 +39,7 @@
     Hang,
 }
 
-/// A FastCGI server. `ran` has the ids of all requests whose input came whole.
+/// A `FastCGI` server. `ran` has the ids of all requests whose input came whole.
 #[derive(Clone)]
 struct Server {
     at: SocketAddr,
@@ -321,7 +321,7 @@
     }
 }
 
-/// A FastCGI client of the agent.
+/// A `FastCGI` client of the agent.
 struct Client {
     io: TcpStream,
     asker: Asker,
@@ -370,7 +370,7 @@
     }
 }
 
-/// A second listener that speaks FastCGI, at a free port.
+/// A second listener that speaks `FastCGI`, at a free port.
 fn fast_door() -> (SocketAddr, String) {
     let free = unused();
     (free, format!("[[listen]]\nname = \"fast\"\nat = \"{free}\"\nprotocol = \"fastcgi\"\n"))
--- a/crates/cli/tests/owner.rs
+++ b/crates/cli/tests/owner.rs
@@ -292,7 +292,7 @@
     while std::time::Instant::now() < until {
         assert_eq!(owner(&ground.field), None, "two of five make no owner");
         (0..3).for_each(|n| {
-            assert_eq!(ground.field.takes_clients(n), Some(true), "without control they route")
+            assert_eq!(ground.field.takes_clients(n), Some(true), "without control they route");
         });
     }
     let refused = ground.client().ask(&Body::Instances, Duration::from_millis(800));
--- a/crates/commands/src/book.rs
+++ b/crates/commands/src/book.rs
@@ -182,10 +182,10 @@
         let Some(state) = self.state_mut(id, revision) else { return false };
         match (&*state, outcome) {
             (State::Queued | State::Told(_) | State::Unknown(_), Outcome::Done) => {
-                *state = State::Applied(epoch)
+                *state = State::Applied(epoch);
             }
             (State::Queued | State::Told(_) | State::Unknown(_), Outcome::Refused(why)) => {
-                *state = State::Refused(why.clone())
+                *state = State::Refused(why.clone());
             }
             // Done again, in a new life.
             (State::Applied(_), Outcome::Done) => *state = State::Applied(epoch),
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,7 +1,7 @@
 //! Registers agreed by a majority of voters, and leases built on them. No I/O: time and chance are handed in; what has to be durable or
 //! sent comes back as a value.
 //!
-//! The protocol is CASPaxos (Rystsov, "CASPaxos: Replicated State Machines without logs", 2018): a register for each key, changed by a
+//! The protocol is `CASPaxos` (Rystsov, "`CASPaxos`: Replicated State Machines without logs", 2018): a register for each key, changed by a
 //! prepare and an accept under a ballot, without a log. [`acceptor`] is the voter's side and [`proposal`] the count of its replies. On
 //! these registers [`lease_owner`] elects the owner of a job, whose writes and effects carry a fencing token ([`fencing`]).
 //! [`acceptor_recovery`] brings back a voter that lost its disk; [`voter_set`] and [`reconfiguration`] replace the voters themselves.
--- a/crates/control-plane/src/replica/reconfiguration.rs
+++ b/crates/control-plane/src/replica/reconfiguration.rs
@@ -1,8 +1,8 @@
 //! How the voter set is changed by agreement, and how a decided set is learnt.
 use notchspool::units::Micros;
-use notchspool_consensus::ContenderId;
 use notchspool_consensus::reconfiguration::{Reconfiguration, SuccessorRequest};
 use notchspool_consensus::voter_set::VoterSet;
+use notchspool_consensus::{Ballot, ContenderId};
 use notchspool_mesh_protocol::{Payload, ReconfigReply, ReconfigRequest};
 use notchspool_storage::WriteOp;
 
@@ -213,7 +213,7 @@
         self.adopt(now, set, None);
         if let Some(position) = self.own_position() {
             let parameters = voting::parameters(self.membership.set.members.len());
-            let acceptor = voting::open_acceptor(position, parameters, Default::default(), None, now);
+            let acceptor = voting::open_acceptor(position, parameters, Ballot::default(), None, now);
             self.voting = VotingState::Persisting(Box::new(acceptor));
             self.write_membership(PendingWrite::Installation(self.membership.set.number));
         }
--- a/crates/data-plane/tests/service_balancer.rs
+++ b/crates/data-plane/tests/service_balancer.rs
@@ -145,7 +145,7 @@
 fn an_address_taken_over_by_another_instance_is_another_backend() {
     let mut caller = Caller::with(vec![ready("a"), ready("b")]);
     for n in 0..50 {
-        let left = endpoint(&format!("x{}", n), 6, 0, EndpointState::Left, 9);
+        let left = endpoint(&format!("x{n}"), 6, 0, EndpointState::Left, 9);
         let next = ready(&format!("x{}", n + 1));
         caller.balancer.apply_changes(
             caller.now,
--- a/crates/lab/src/core/auditor.rs
+++ b/crates/lab/src/core/auditor.rs
@@ -136,7 +136,7 @@
                 books.entry(txn).or_insert(book);
             }
             Entry::Heard { txn, answer } => {
-                books.entry(txn).and_modify(|b| b.heard.push((at, answer))).ignore()
+                books.entry(txn).and_modify(|b| b.heard.push((at, answer))).ignore();
             }
             Entry::Left { txn } => books.entry(txn).and_modify(|b| b.left = Some(at)).ignore(),
             Entry::Unanswered { txn } => books.entry(txn).and_modify(|b| b.unanswered = Some(at)).ignore(),
@@ -165,7 +165,7 @@
                 }
             }
             Entry::Over { posting, end } => {
-                on(&mut books, &postings, posting, |s| s.over = s.over.or(Some((at, end))))
+                on(&mut books, &postings, posting, |s| s.over = s.over.or(Some((at, end))));
             }
             Entry::Told { agent, back, standing: Standing::Ready } => {
                 told.remove(&(agent, back));
@@ -229,13 +229,13 @@
     }
     match (first, book.left) {
         (Some((at, _)), _) if at > book.expiry + agreed.slack => {
-            breach(Rule::Lost, "answered after its expiry", at)
+            breach(Rule::Lost, "answered after its expiry", at);
         }
         (Some(_), _) => {}
         (None, Some(left)) if left < book.expiry => {}
         (None, _) if orphan.is_some_and(|at| at <= book.expiry + agreed.slack) => verdict.orphaned += 1,
         (None, left) => {
-            breach(Rule::Lost, "no final answer", left.or(book.unanswered).unwrap_or(book.expiry))
+            breach(Rule::Lost, "no final answer", left.or(book.unanswered).unwrap_or(book.expiry));
         }
     }
     // A client whose answer broke off has none, and what is out for it may go on; nothing else may begin.
@@ -280,7 +280,7 @@
         match row.kind {
             RequestKind::Idempotent => {}
             RequestKind::NonIdempotent => {
-                breach(Rule::Twice, "a once-only txn sent again though it may have run", later.began)
+                breach(Rule::Twice, "a once-only txn sent again though it may have run", later.began);
             }
             RequestKind::Keyed => {
                 let place = |back: BackId| agreed.places[back.0];
--- a/crates/lab/src/core/notation.rs
+++ b/crates/lab/src/core/notation.rs
@@ -140,7 +140,7 @@
                 }
             }
             Entry::Heard { txn: of, .. } | Entry::Left { txn: of } | Entry::Unanswered { txn: of } => {
-                txn(of)?
+                txn(of)?;
             }
             Entry::Began { posting, back: at, .. } => {
                 back(*at)?;
@@ -162,7 +162,7 @@
                 }
             }
             Entry::Told { back: at, .. } | Entry::Started { back: at } | Entry::Fell { back: at } => {
-                back(*at)?
+                back(*at)?;
             }
             Entry::Killed { .. } | Entry::Launched { .. } => {}
         }
--- a/crates/lab/src/core/service.rs
+++ b/crates/lab/src/core/service.rs
@@ -104,7 +104,7 @@
         let Some(before) = self.between(from, begin) else { return Recovery::Unknown };
         let (first, last) = (end.0 / BUCKET.0, until.0 / BUCKET.0);
         let mut held = None;
-        for at in first as usize..(last as usize).saturating_sub(JUDGED) + 1 {
+        for at in (first as usize)..=(last as usize).saturating_sub(JUDGED) {
             let back = self.part(at, at + JUDGED).is_none_or(|now| now >= before - NEAR);
             held = if back { held.or(Some(at)) } else { None };
             if held.is_some_and(|since| at - since >= JUDGED) {
--- a/crates/lab/src/plan/file.rs
+++ b/crates/lab/src/plan/file.rs
@@ -54,7 +54,7 @@
     pub cells: Spanned<usize>,
     /// Backends belong to pools in turn; only agents with routes know of more than one.
     pub pools: Spanned<usize>,
-    /// Those whose backends speak FastCGI.
+    /// Those whose backends speak `FastCGI`.
     pub fastcgi_pools: Vec<usize>,
     /// Requests at once on a connection, as these say.
     pub fastcgi_at_once: Spanned<usize>,
@@ -221,7 +221,7 @@
     pub patience: Spanned<[f64; 2]>,
     #[serde(default)]
     pub leavers: f64,
-    /// Part of the clients that speak FastCGI.
+    /// Part of the clients that speak `FastCGI`.
     #[serde(default)]
     pub fastcgi: f64,
     pub again: Option<Again>,
--- a/crates/lab/src/plan/read.rs
+++ b/crates/lab/src/plan/read.rs
@@ -37,7 +37,7 @@
     pub most_orders: usize,
     /// Backends belong to them in turn.
     pub pools: usize,
-    /// Those whose backends speak FastCGI, and the part of the clients that do.
+    /// Those whose backends speak `FastCGI`, and the part of the clients that do.
     pub fastcgi_pools: Vec<usize>,
     pub fastcgi_at_once: usize,
     pub fastcgi_clients: f64,
--- a/crates/lab/src/report/sheet.rs
+++ b/crates/lab/src/report/sheet.rs
@@ -234,7 +234,7 @@
                 State::After(at) if at <= within => {}
                 State::Unknown => {}
                 State::After(at) => {
-                    missed.push(format!("`{}`: recovered after {at:.1} s, not {within} s", r.fault))
+                    missed.push(format!("`{}`: recovered after {at:.1} s, not {within} s", r.fault));
                 }
                 State::Stuck(held) => missed.push(format!("`{}`: not recovered in {held:.1} s", r.fault)),
             }
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -269,7 +269,7 @@
         };
         let (sends, own) = (rope.clone(), self.clone());
         let run = frame_connection::run(stream, rope.clone(), Some(SILENCE), |what| {
-            own.prompted((address, conn), &sends, what)
+            own.prompted((address, conn), &sends, what);
         });
         tokio::select! { _ = run => (), () = pulse => () }
     }
--- a/crates/lab/src/scale/play.rs
+++ b/crates/lab/src/scale/play.rs
@@ -223,7 +223,7 @@
         while times.len() < count {
             match tokio::time::timeout_at(end, self.told.recv()).await {
                 Ok(Some((at, event))) if is(&event) => {
-                    times.push(at.saturating_duration_since(began).as_secs_f64())
+                    times.push(at.saturating_duration_since(began).as_secs_f64());
                 }
                 Ok(Some(_)) => {}
                 Ok(None) | Err(_) => break,
--- a/crates/lab/src/seeded/day.rs
+++ b/crates/lab/src/seeded/day.rs
@@ -490,7 +490,7 @@
                 let scheme = self.orders[one.order].scheme;
                 if self.agents[agent].life == life && one.open {
                     self.call(agent, |balancer, hand| {
-                        balancer.begin(RequestId(txn.0), scheme, expiry).route(hand)
+                        balancer.begin(RequestId(txn.0), scheme, expiry).route(hand);
                     });
                 }
             }
--- a/crates/lab/src/sockets/agents.rs
+++ b/crates/lab/src/sockets/agents.rs
@@ -27,7 +27,7 @@
 pub struct Agent {
     pub name: String,
     pub at: SocketAddr,
-    /// Where it takes FastCGI, if anywhere.
+    /// Where it takes `FastCGI`, if anywhere.
     pub fast: Option<SocketAddr>,
     program: PathBuf,
     arguments: Vec<String>,
--- a/crates/lab/src/sockets/clients.rs
+++ b/crates/lab/src/sockets/clients.rs
@@ -26,7 +26,7 @@
     pub tenants: Vec<String>,
     pub habits: Habits,
     pub agents: Vec<SocketAddr>,
-    /// Where they take FastCGI, and the part of the clients that speak it.
+    /// Where they take `FastCGI`, and the part of the clients that speak it.
     pub fast: Vec<Option<SocketAddr>>,
     pub fast_part: f64,
     pub fast_idle: RefCell<Vec<Vec<Fast>>>,
@@ -193,7 +193,7 @@
         self.unheard(txn, taken)
     }
 
-    /// The same by FastCGI. One on a kept connection that ends before a byte of an answer goes once more on a new one.
+    /// The same by `FastCGI`. One on a kept connection that ends before a byte of an answer goes once more on a new one.
     async fn ask_fast(&self, order: &Order, row: &Scheme, txn: TxnId, left: Micros, at: SocketAddr) -> Ended {
         let mut headers = vec![
             ("X-Trace-Id", trace_of(txn)),
--- a/crates/lab/src/sockets/drive.rs
+++ b/crates/lab/src/sockets/drive.rs
@@ -187,8 +187,8 @@
         let due = stage.world.borrow().next().unwrap_or(next_look);
         let wake = due.min(next_look).max(now);
         tokio::select! {
-            _ = sleep_until(stage.instant(wake).into()) => {}
-            _ = stage.poke.notified() => continue,
+            () = sleep_until(stage.instant(wake).into()) => {}
+            () = stage.poke.notified() => continue,
         }
         if due <= next_look && due > now {
             stage.late(due);
--- a/crates/lab/src/sockets/fcgi.rs
+++ b/crates/lab/src/sockets/fcgi.rs
@@ -1,4 +1,4 @@
-//! FastCGI on the lab's side: backends that speak it, several requests at once on a connection, and clients that do.
+//! `FastCGI` on the lab's side: backends that speak it, several requests at once on a connection, and clients that do.
 use std::collections::BTreeMap;
 use std::io;
 use std::net::SocketAddr;
@@ -217,7 +217,7 @@
     }
 }
 
-/// A client's connection to an agent that takes FastCGI.
+/// A client's connection to an agent that takes `FastCGI`.
 pub struct Fast {
     pub io: TcpStream,
 }
--- a/crates/mesh-config/src/parse.rs
+++ b/crates/mesh-config/src/parse.rs
@@ -81,7 +81,8 @@
             None => return invalid(field("maxConns"), "is no whole number"),
         },
     };
-    let deduplicates = value.get("selfDedupes").and_then(|v| v.as_bool()).unwrap_or(false);
+    let deduplicates =
+        value.get("selfDedupes").and_then(simd_json::prelude::ValueAsScalar::as_bool).unwrap_or(false);
     Ok(Service { health_path, max_connections, deduplicates })
 }
 
@@ -198,7 +199,7 @@
 
     fn weighted_service(&self, index: usize, part: &OwnedValue) -> Result<WeightedService, InvalidConfig> {
         let service = part.get("service").and_then(|v| v.as_str());
-        let weight = part.get("weight").and_then(|v| v.cast_f64());
+        let weight = part.get("weight").and_then(simd_json::prelude::ValueAsScalar::cast_f64);
         match (service, weight) {
             (Some(service), Some(weight)) if weight.is_finite() && weight >= 0.0 => {
                 Ok(WeightedService { service: service.to_string(), weight })
--- a/crates/mesh-config/src/proposer.rs
+++ b/crates/mesh-config/src/proposer.rs
@@ -3,7 +3,7 @@
 //! The register's value is the configuration with the highest version, and the digests of the bodies accepted under earlier versions
 //! ([`crate::register`]). To write it is to read it first: what is written is what was found, with each new body under a version that is
 //! still unused. So there is one body for a version, the version never goes back, and what a majority has on disk is found by every later
-//! proposal (CASPaxos; `notchspool_consensus` has acceptors and proposals).
+//! proposal (`CASPaxos`; `notchspool_consensus` has acceptors and proposals).
 //!
 //! Every call, also one that changes nothing, ends with an accept of its own by a majority, begun after the call came; its result is read
 //! off the value that this accept has chosen, never off one that was only proposed.
--- a/crates/mesh-config/tests/agreement.rs
+++ b/crates/mesh-config/tests/agreement.rs
@@ -148,7 +148,7 @@
             }
             (_, CallResult::NoMajority) => self.given_up += 1,
             (Some(order), CallResult::Forgotten { .. }) => {
-                self.violation = Some(format!("{order:?} is forgotten"))
+                self.violation = Some(format!("{order:?} is forgotten"));
             }
             _ => {}
         }
@@ -240,7 +240,7 @@
         match word % 16 {
             0..=6 if waiting > 0 => {
                 // Some at once: few rounds came to an end otherwise.
-                for nth in 0..1 + pick(6, 1 << 20) {
+                for nth in 0..=pick(6, 1 << 20) {
                     if !self.way.is_empty() {
                         let message = self.way.remove(pick(self.way.len(), 16 + 5 * nth as u32));
                         self.deliver(message);
@@ -342,9 +342,9 @@
 #[rstest]
 #[case::order_of_fields(r#"{"a":1,"b":[1,2]}"#, r#"{ "b": [1, 2], "a": 1 }"#, true)]
 #[case::ways_to_write_a_number(r#"{"a":2.50,"b":3.0}"#, r#"{"a":25e-1,"b":3}"#, true)]
-#[case::order_of_items(r#"[1,2]"#, r#"[2,1]"#, false)]
+#[case::order_of_items(r"[1,2]", r"[2,1]", false)]
 #[case::text_and_number(r#"{"a":"1"}"#, r#"{"a":1}"#, false)]
-#[case::nothing_and_no_field(r#"{"a":null}"#, r#"{}"#, false)]
+#[case::nothing_and_no_field(r#"{"a":null}"#, r"{}", false)]
 #[case::nested_and_flat(r#"[["a"],"b"]"#, r#"[["a","b"]]"#, false)]
 #[case::field_and_text(r#"{"ab":"c"}"#, r#"{"a":"bc"}"#, false)]
 #[case::yes_and_no(r#"{"a":true}"#, r#"{"a":false}"#, false)]
--- a/crates/mesh-protocol/tests/frames.rs
+++ b/crates/mesh-protocol/tests/frames.rs
@@ -9,7 +9,7 @@
     encode(Payload::ConfigRequest(ConfigRequest { version: 9 }), &mut all);
     let mut got = BytesMut::new();
     let mut seen = Vec::new();
-    for byte in all.iter() {
+    for byte in &all {
         got.put_u8(*byte);
         while let Some(payload) = decode(&mut got).unwrap() {
             seen.push(payload);
--- a/crates/proxy/tests/whole.rs
+++ b/crates/proxy/tests/whole.rs
@@ -171,7 +171,7 @@
     on_a_thread(move || async move {
         let signals = Signals::install().unwrap();
         let settings = CheckedSettings { node: of_core, file, listeners: control };
-        notchspool_control_plane::server::run(settings, signals).await.unwrap()
+        notchspool_control_plane::server::run(settings, signals).await.unwrap();
     });
     let proxies = ["127.77.2.1", "127.77.2.2"];
     let seen: Vec<Seen> =
@@ -183,7 +183,7 @@
         let listeners = Listeners { outbound, readiness, control_plane };
         on_a_thread(move || async move {
             let settings = CheckedSettings { node: response, file, listeners };
-            notchspool_data_plane::run::run(settings, Signals::install().unwrap()).await.unwrap()
+            notchspool_data_plane::run::run(settings, Signals::install().unwrap()).await.unwrap();
         });
     }
     let runs = |path: &str| -> usize {
--- a/crates/rollout/src/sequence.rs
+++ b/crates/rollout/src/sequence.rs
@@ -1,5 +1,5 @@
 //! A confidence sequence: an interval for a mean that holds at every moment at once, so that it may be looked at as often as one
-//! likes. The normal mixture's boundary (Robbins 1970; Howard, Ramdas, McAuliffe, Sekhon: *Time-uniform, nonparametric, nonasymptotic
+//! likes. The normal mixture's boundary (Robbins 1970; Howard, Ramdas, `McAuliffe`, Sekhon: *Time-uniform, nonparametric, nonasymptotic
 //! confidence sequences*, 2021) over figures weighed by their own variance, so that some loud seconds do not outweigh many quiet
 //! ones; where they spread wider than that variance says, the interval widens with them (Waudby-Smith and others, 2021).
 use serde::{Deserialize, Serialize};
--- a/crates/runtime/src/node_settings.rs
+++ b/crates/runtime/src/node_settings.rs
@@ -211,12 +211,12 @@
     }
 
     fn port_range(&self) -> Result<PortRange, SettingsError> {
-        let ports = self.value.get("portRange").and_then(Value::as_array).map(|ports| ports.as_slice());
+        let ports = self.value.get("portRange").and_then(Value::as_array).map(std::vec::Vec::as_slice);
         let Some([first, last]) = ports else {
             return self.error("portRange", "is missing or not two ports");
         };
         match (first.as_u64(), last.as_u64()) {
-            (Some(first), Some(last)) if first > 0 && first <= last && last <= u64::from(u16::MAX) => {
+            (Some(first), Some(last)) if first > 0 && first <= last && u16::try_from(last).is_ok() => {
                 Ok(PortRange { first: first as u16, last: last as u16 })
             }
             _ => self.error("portRange", "is no range of ports"),
--- a/crates/settings/src/file/read.rs
+++ b/crates/settings/src/file/read.rs
@@ -3,6 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::ops::Range;
+use std::path::PathBuf;
 
 use notchspool::units::{DeduplicationScope, Micros, Policy, RequestClass, RequestKind};
 use notchspool_routes::table::{Host, Path, Rule, Segment, Table, segments};
@@ -270,8 +271,8 @@
             }
         };
         // A mistake ends the reading later; the door keeps its place till then.
-        let at = at.unwrap_or(Place::Unix(Default::default()));
-        if doors.iter().any(|d| d.at == at && at != Place::Unix(Default::default())) {
+        let at = at.unwrap_or(Place::Unix(PathBuf::default()));
+        if doors.iter().any(|d| d.at == at && at != Place::Unix(PathBuf::default())) {
             seen.wrong(row.span(), "a second listener there");
         }
         doors.push(Door { name, at, protocol: row.get_ref().protocol });
--- a/crates/settings/tests/file.rs
+++ b/crates/settings/tests/file.rs
@@ -45,5 +45,5 @@
     let text: String = text.lines().filter(|l| !l.starts_with("quotas")).map(|l| format!("{l}\n")).collect();
     let ends = text.match_indices('\n').map(|(at, _)| at + 1).filter(|&end| end < text.trim_end().len());
     let sound: Vec<usize> = ends.filter(|&end| read("cut", &text[..end]).is_ok()).collect();
-    assert!(sound.is_empty(), "cut at byte {:?} it is sound", sound);
+    assert!(sound.is_empty(), "cut at byte {sound:?} it is sound");
 }
--- a/crates/wirehost/src/actions.rs
+++ b/crates/wirehost/src/actions.rs
@@ -59,7 +59,7 @@
     fn reject(&mut self, txn: RequestId, away: Option<Micros>) {
         match away {
             Some(away) => {
-                self.action("notNow", format_args!(r#","call":{},"retryAfterMs":{}"#, txn.0, ms(away)))
+                self.action("notNow", format_args!(r#","call":{},"retryAfterMs":{}"#, txn.0, ms(away)));
             }
             None => self.action("notNow", format_args!(r#","call":{}"#, txn.0)),
         }
--- a/crates/wirehost/src/host.rs
+++ b/crates/wirehost/src/host.rs
@@ -222,7 +222,7 @@
         let mut wire = Wire { reply, instance: &self.quoted, names: &self.names };
         match refresh {
             Some(refresh) => {
-                self.balancer.on_list(refresh, Generation(whole(event, "generation")?), &entries, &mut wire)
+                self.balancer.on_list(refresh, Generation(whole(event, "generation")?), &entries, &mut wire);
             }
             None => self.balancer.on_list_failed(),
         }
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -47,7 +47,7 @@
 impl Balancer {
     /// A balancer that knows no backend yet. All its randomness comes from the seed.
     pub fn new(policy: Policy, seed: u64, now: Micros) -> Balancer {
-        let mut rng = Rand64::new(seed as u128);
+        let mut rng = Rand64::new(u128::from(seed));
         let watch = WatchBackoff::new(policy.list_on_request, now, policy.watch_within, rng.rand_float());
         Balancer {
             now,
--- a/src/endpoint_list.rs
+++ b/src/endpoint_list.rs
@@ -36,7 +36,7 @@
             match entry.status {
                 EndpointStatus::Ready => {
                     (backend.leaving_since, backend.frozen_since, backend.removed, backend.is_gone) =
-                        (None, None, false, false)
+                        (None, None, false, false);
                 }
                 EndpointStatus::Draining if backend.leaving_since.is_none() => {
                     (backend.leaving_since, backend.takes_part_until) = (Some(now), now + grace.times(part));
--- a/src/outlier_detection.rs
+++ b/src/outlier_detection.rs
@@ -66,15 +66,15 @@
             }
             // Two in a row eject: a silent backend must not fill small windows for long (incident i4e8cc2).
             AttemptOutcome::ConnectFailed | AttemptOutcome::TimedOut if !lost => {
-                self.add_failure_evidence(id, 0.45)
+                self.add_failure_evidence(id, 0.45);
             }
             // Unless failures are usual: what affects all alike must not eject one after the other.
             AttemptOutcome::Failed | AttemptOutcome::ConnectionLost | AttemptOutcome::TimedOut => {
-                self.add_failure_evidence(id, 0.45 * (USUAL_FAILURES / usual).clamp(0.1, 1.0))
+                self.add_failure_evidence(id, 0.45 * (USUAL_FAILURES / usual).clamp(0.1, 1.0));
             }
             AttemptOutcome::Rejected => {
                 backend.takes_part_until = now;
-                self.add_failure_evidence(id, 0.2)
+                self.add_failure_evidence(id, 0.2);
             }
             _ => {}
         }
--- a/src/request.rs
+++ b/src/request.rs
@@ -45,7 +45,7 @@
         let RequestHandle { balancer, request } = self;
         if let Some(TenantId(tenant)) = tenant.filter(|_| balancer.policy.has_peers) {
             balancer.tenant_rates.record(tenant);
-            let all = balancer.tenant_rates.mean(tenant) * balancer.policy.agent_count as f64;
+            let all = balancer.tenant_rates.mean(tenant) * f64::from(balancer.policy.agent_count);
             let quota = balancer.policy.quotas.get(tenant).copied().unwrap_or(f64::MAX);
             let in_quota = balancer.rng.rand_float() * all < quota;
             balancer.requests.get_mut(&request).into_iter().for_each(|state| state.in_quota = in_quota);
--- a/src/send_rules.rs
+++ b/src/send_rules.rs
@@ -62,7 +62,7 @@
         let warm_fraction = backend.warm_fraction(&self.policy, self.now);
         let part =
             self.policy.warmup_multiple / 2.0 * warm_fraction * self.stats.throughput * backend.entry.size;
-        part.max(1.0 / self.policy.agent_count.max(1) as f64)
+        part.max(1.0 / f64::from(self.policy.agent_count.max(1)))
     }
 
     /// Sends an attempt; returns false where the rules forbid it.
--- a/src/statistics.rs
+++ b/src/statistics.rs
@@ -39,7 +39,7 @@
         }
         // This balancer's part of what overloads nobody: with less it learns too little to recover. Sizes are
         // relative, so they stand for cores only within bounds.
-        self.stats.min_window = 1.2 * cores / self.policy.agent_count.max(1) as f64;
+        self.stats.min_window = 1.2 * cores / f64::from(self.policy.agent_count.max(1));
         self.stats.throughput = if size > 0.0 { throughput / size / 2.0 } else { 0.0 };
         self.stats.load_per_core = load_per_core / listed.max(1) as f64;
         self.stats.has_few_backends = self.policy.agent_count as usize > listed;
