--- a/crates/agent/src/control/link.rs
+++ b/crates/agent/src/control/link.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use notchspool_commands::obey::{Hear, Obey};
-use notchspool_commands::{Act, Epoch, InstanceId, Outcome, Revision};
+use notchspool_commands::executor::{Decision, Executor};
+use notchspool_commands::{CommandKind, Epoch, InstanceId, Outcome, Revision};
 use notchspool_consensus::{OWNER_KEY, OwnerRecord, Reply, Request, Space, Token};
 use notchspool_fleet_protocol::search::Search;
 use notchspool_fleet_protocol::{Body, Message, SHORT};
@@ -35,7 +35,7 @@
     token: Token,
     epoch: Epoch,
     revision: Revision,
-    act: Act,
+    act: CommandKind,
 }
 
 /// Why a session is over, and when the next one may begin.
@@ -60,7 +60,7 @@
     chance: Rand64,
     life: u64,
     own: Option<(InstanceId, Epoch)>,
-    obey: Obey,
+    obey: Executor,
     queue: VecDeque<Order>,
     doing: Option<(Order, oneshot::Receiver<Result<(), String>>)>,
     no: u64,
@@ -99,7 +99,7 @@
             deeds,
             chance,
             own: None,
-            obey: Obey::new(Epoch(0)),
+            obey: Executor::new(Epoch(0)),
             queue: VecDeque::new(),
             doing: None,
             no: 0,
@@ -241,7 +241,7 @@
                 log::info!("fleet: registered as {} in epoch {} under token {}", id.0, epoch.0, token.0);
                 self.search.found();
                 self.own = Some((id, epoch));
-                self.obey = Obey::new(epoch);
+                self.obey = Executor::new(epoch);
                 *renew_at = Instant::now() + after(again_us);
             }
             Body::Renewed { again_us, .. } => {
@@ -288,8 +288,8 @@
                 continue;
             }
             self.point("effect");
-            match self.obey.hear(order.epoch, order.revision, order.act) {
-                Hear::Do => {
+            match self.obey.decide(order.epoch, order.revision, order.act) {
+                Decision::Execute => {
                     let (done, told) = oneshot::channel();
                     let Order { token, revision, act, .. } = order;
                     if self.deeds.send(Deed { act, revision, token, done }).await.is_err() {
@@ -297,13 +297,13 @@
                     }
                     self.doing = Some((order, told));
                 }
-                Hear::Said(outcome) => {
+                Decision::AlreadyDone(outcome) => {
                     let did = self.did(order.revision, outcome);
                     if io.write_all(did.as_bytes()).await.is_err() {
                         return false;
                     }
                 }
-                Hear::Nothing => {}
+                Decision::Ignore => {}
             }
         }
         true
@@ -319,9 +319,9 @@
         let Some((order, _)) = self.doing.take() else { return (None, false) };
         let outcome = done.map_or_else(Outcome::Refused, |()| Outcome::Done);
         if order.epoch == self.obey.epoch() {
-            self.obey.did(order.revision, order.act, outcome.clone());
+            self.obey.on_done(order.revision, order.act, outcome.clone());
         }
-        let ends = order.act == Act::Stop && outcome == Outcome::Done;
+        let ends = order.act == CommandKind::Stop && outcome == Outcome::Done;
         let mut said = self.did(order.revision, outcome);
         if ends {
             let (id, epoch) = self.own.unwrap_or_default();
--- a/crates/agent/src/control/mod.rs
+++ b/crates/agent/src/control/mod.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
-use notchspool_commands::{Act, Revision};
+use notchspool_commands::{CommandKind, Revision};
 use notchspool_consensus::Token;
 use notchspool_fleet_protocol::Report;
 use notchspool_settings::file::Fleet;
@@ -41,7 +41,7 @@
 /// To be done by the serving thread, which says how it went.
 #[derive(Debug)]
 pub struct Deed {
-    pub act: Act,
+    pub act: CommandKind,
     pub revision: Revision,
     pub token: Token,
     pub done: oneshot::Sender<Result<(), String>>,
--- a/crates/agent/src/house/build.rs
+++ b/crates/agent/src/house/build.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use awc::http::header::{HeaderName, HeaderValue};
-use notchspool_quotas::division::{Division, Party};
+use notchspool_quotas::quota_pool::{QuotaPool, QuotaShare};
 use notchspool_routes::budget::Budget;
 use notchspool_routes::table::Table;
 use notchspool_settings::file::{self, OTHERS};
@@ -62,9 +62,9 @@
     let kept: Vec<RouteId> = numbers.0.values().map(|n| n.0).collect();
     on.budgets.borrow_mut().retain(|id, _| kept.contains(id));
     let rooms = old.map_or_else(Rooms::default, |old| old.rooms.clone());
-    let party = |p: &file::Pool| Party { name: p.name.clone(), part: p.part, weight: p.weight };
-    let parties: Vec<Party> = told.pools.iter().map(party).collect();
-    rooms.change(|division| division.reshape(on.bounds.now().txns, &parties));
+    let party = |p: &file::Pool| QuotaShare { name: p.name.clone(), guaranteed: p.part, weight: p.weight };
+    let parties: Vec<QuotaShare> = told.pools.iter().map(party).collect();
+    rooms.change(|division| division.set_shares(on.bounds.now().txns, &parties));
     Ok(House {
         table: Table::new(told.routes.iter().map(|r| r.rule.clone()).collect()),
         routes,
@@ -121,11 +121,12 @@
 
 fn tenants(told: &file::Tenants, header: HeaderName, old: Option<&House>, on: &Footing) -> Tenants {
     let sum: f64 = told.shares.iter().map(|s| s.1).sum();
-    let party = |(name, share): (&str, f64)| Party { name: name.into(), part: share * 0.8, weight: 1.0 };
+    let party =
+        |(name, share): (&str, f64)| QuotaShare { name: name.into(), guaranteed: share * 0.8, weight: 1.0 };
     let named = told.shares.iter().map(|(n, s)| (n.as_str(), *s));
     // Four fifths of each share are guaranteed; the rest is lent to who needs it.
-    let parties: Vec<Party> = named.chain([(OTHERS, (1.0 - sum).max(0.0))]).map(party).collect();
+    let parties: Vec<QuotaShare> = named.chain([(OTHERS, (1.0 - sum).max(0.0))]).map(party).collect();
     let rooms = old.and_then(|old| old.tenants.as_ref()).map_or_else(Rooms::default, |t| t.rooms.clone());
-    rooms.change(|division: &mut Division| division.reshape(on.bounds.now().txns, &parties));
+    rooms.change(|division: &mut QuotaPool| division.set_shares(on.bounds.now().txns, &parties));
     Tenants { header, rooms, names: told.shares.iter().cloned().collect() }
 }
--- a/crates/agent/src/house/rooms.rs
+++ b/crates/agent/src/house/rooms.rs
@@ -2,10 +2,10 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-use notchspool_quotas::division::Division;
+use notchspool_quotas::quota_pool::QuotaPool;
 
 #[derive(Clone, Default)]
-pub struct Rooms(Rc<RefCell<Division>>);
+pub struct Rooms(Rc<RefCell<QuotaPool>>);
 
 /// A part of the room, held by one txn.
 pub struct Held {
@@ -14,15 +14,15 @@
 }
 
 impl Rooms {
-    pub fn new(division: Division) -> Rooms {
+    pub fn new(division: QuotaPool) -> Rooms {
         Rooms(Rc::new(RefCell::new(division)))
     }
-    pub fn change(&self, change: impl FnOnce(&mut Division)) {
+    pub fn change(&self, change: impl FnOnce(&mut QuotaPool)) {
         change(&mut self.0.borrow_mut());
     }
     /// None where there is no room for this party.
     pub fn take(&self, by: &str) -> Option<Held> {
-        self.0.borrow_mut().take(by).then(|| Held { rooms: self.clone(), by: by.to_owned() })
+        self.0.borrow_mut().try_acquire(by).then(|| Held { rooms: self.clone(), by: by.to_owned() })
     }
     pub fn held_by(&self, by: &str) -> usize {
         self.0.borrow().held_by(by)
@@ -31,6 +31,6 @@
 
 impl Drop for Held {
     fn drop(&mut self) {
-        self.rooms.0.borrow_mut().give(&self.by);
+        self.rooms.0.borrow_mut().release(&self.by);
     }
 }
--- a/crates/agent/src/life/obey.rs
+++ b/crates/agent/src/life/obey.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use actix::Addr;
-use notchspool_commands::Act;
+use notchspool_commands::CommandKind;
 use tokio::sync::mpsc;
 
 use super::stop;
@@ -35,18 +35,18 @@
     actix_rt::spawn(async move {
         while let Some(Deed { act, revision, token, done }) = deeds.recv().await {
             let did = match act {
-                Act::Drain => {
+                CommandKind::Drain => {
                     if porch.away.get().is_none() {
                         porch.away.set(Some(porch.clock.now()));
                     }
                     Ok(())
                 }
-                Act::Undrain => {
+                CommandKind::Undrain => {
                     porch.away.set(None);
                     Ok(())
                 }
-                Act::Reload => take(stop::reading(&read).await),
-                Act::Stop => {
+                CommandKind::Reload => take(stop::reading(&read).await),
+                CommandKind::Stop => {
                     gates.iter().for_each(|gate| gate.do_send(Leave));
                     Ok(())
                 }
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -7,9 +7,9 @@
 
 use clap::{Args, Subcommand};
 use notchspool_command_controller::office::word;
-use notchspool_commands::Act;
+use notchspool_commands::CommandKind;
 use notchspool_commands::Revision;
-use notchspool_commands::book::State;
+use notchspool_commands::command_log::CommandState;
 use notchspool_fleet_controller::{Hold, Start, file};
 use notchspool_fleet_protocol::client::Client;
 use notchspool_fleet_protocol::{Body, Instance, Order, Ordered, Whom};
@@ -159,10 +159,10 @@
     match asked.what {
         What::Ls => asker.list().map(|()| ExitCode::SUCCESS),
         What::Show { what } => asker.show(&what),
-        What::Drain(to) => asker.order(Act::Drain, to),
-        What::Undrain(to) => asker.order(Act::Undrain, to),
-        What::Reload(to) => asker.order(Act::Reload, to),
-        What::Stop(to) => asker.order(Act::Stop, to),
+        What::Drain(to) => asker.order(CommandKind::Drain, to),
+        What::Undrain(to) => asker.order(CommandKind::Undrain, to),
+        What::Reload(to) => asker.order(CommandKind::Reload, to),
+        What::Stop(to) => asker.order(CommandKind::Stop, to),
         What::Orders { last } => asker.orders(last),
         What::Watch { every_ms, times } => {
             for nth in 1.. {
@@ -182,12 +182,12 @@
     println!("{}", serde_json::to_string(value).unwrap_or_default());
 }
 
-fn act(act: Act) -> &'static str {
+fn act(act: CommandKind) -> &'static str {
     match act {
-        Act::Drain => "drain",
-        Act::Undrain => "undrain",
-        Act::Reload => "reload",
-        Act::Stop => "stop",
+        CommandKind::Drain => "drain",
+        CommandKind::Undrain => "undrain",
+        CommandKind::Reload => "reload",
+        CommandKind::Stop => "stop",
     }
 }
 
@@ -317,8 +317,8 @@
         println!("{}", counts.join(", "));
         for (name, state) in &o.states {
             let more = match state {
-                State::Refused(why) => format!(": {why}"),
-                State::Overtaken(by) => format!(" by {}", by.0),
+                CommandState::Refused(why) => format!(": {why}"),
+                CommandState::Superseded(by) => format!(" by {}", by.0),
                 _ => String::new(),
             };
             println!("  {name:<20} {}{more}", word(state));
@@ -349,7 +349,7 @@
         Ok(ExitCode::SUCCESS)
     }
 
-    fn order(&mut self, what: Act, to: Do) -> Result<ExitCode, String> {
+    fn order(&mut self, what: CommandKind, to: Do) -> Result<ExitCode, String> {
         if to.names.is_empty() && to.zone.is_empty() && !to.all {
             return Err("whom? names, --zone or --all".into());
         }
--- a/crates/cli/tests/owner.rs
+++ b/crates/cli/tests/owner.rs
@@ -7,8 +7,8 @@
 use std::sync::atomic::Ordering::Relaxed;
 use std::time::Duration;
 
-use notchspool_commands::book::State;
-use notchspool_commands::{Act, Epoch, InstanceId, Revision};
+use notchspool_commands::command_log::CommandState;
+use notchspool_commands::{CommandKind, Epoch, InstanceId, Revision};
 use notchspool_fleet_protocol::client::Client;
 use notchspool_fleet_protocol::{Body, Keeper, Message, Order, Whom};
 use notchspool_lab::ground::field::{End, Field, Plan, clear, folder};
@@ -89,7 +89,7 @@
     fn client(&self) -> Client {
         Client::new("lab", &self.field.seen_all(End::Client), "test")
     }
-    fn order(&self, id: &str, act: Act, within_ms: i64) -> Order {
+    fn order(&self, id: &str, act: CommandKind, within_ms: i64) -> Order {
         Order {
             id: id.into(),
             author: "test".into(),
@@ -107,7 +107,7 @@
             other => panic!("not taken: {other:?}"),
         }
     }
-    fn states(&self, revision: Revision) -> Vec<State> {
+    fn states(&self, revision: Revision) -> Vec<CommandState> {
         match self.client().ask(&Body::Look { revision }, PATIENCE) {
             Ok(Body::OrdersAre { orders }) => {
                 orders.into_iter().flat_map(|o| o.states).map(|s| s.1).collect()
@@ -115,8 +115,8 @@
             other => panic!("{other:?}"),
         }
     }
-    fn ended(&self, revision: Revision) -> Vec<State> {
-        wait("it comes to its end", PATIENCE, || self.states(revision).iter().all(State::is_final))
+    fn ended(&self, revision: Revision) -> Vec<CommandState> {
+        wait("it comes to its end", PATIENCE, || self.states(revision).iter().all(CommandState::is_final))
             .expect("an end");
         self.states(revision)
     }
@@ -214,8 +214,8 @@
         let (ground, over) = (&ground, &over);
         let taken = scope.spawn(|| {
             settled(&ground.field, 4).expect("all register");
-            let first = ground.take(&ground.order("x", Act::Drain, 20_000));
-            let second = ground.take(&ground.order("y", Act::Undrain, 20_000));
+            let first = ground.take(&ground.order("x", CommandKind::Drain, 20_000));
+            let second = ground.take(&ground.order("y", CommandKind::Undrain, 20_000));
             let ends = (ground.ended(first), ground.ended(second));
             over.store(true, std::sync::atomic::Ordering::Relaxed);
             (first, second, ends)
@@ -235,8 +235,11 @@
     });
     let (first, second, (drained, back)) = taken;
     assert!(first < second);
-    assert!(drained.iter().all(|s| matches!(s, State::Applied(_) | State::Overtaken(_))), "{drained:?}");
-    assert!(back.iter().all(|s| matches!(s, State::Applied(_))), "{back:?}");
+    assert!(
+        drained.iter().all(|s| matches!(s, CommandState::Applied(_) | CommandState::Superseded(_))),
+        "{drained:?}"
+    );
+    assert!(back.iter().all(|s| matches!(s, CommandState::Applied(_))), "{back:?}");
     (0..4).for_each(|n| assert_eq!(ground.field.takes_clients(n), Some(true)));
     ground.sound();
 }
@@ -252,22 +255,22 @@
     let second = ground.other_owner(first);
     wait("the old one says so itself", PATIENCE, || ground.keeper(first).is_some_and(|k| !k.owns))
         .expect("it stops");
-    let revision = ground.take(&ground.order("x", Act::Drain, 20_000));
-    assert!(ground.ended(revision).iter().all(|s| matches!(s, State::Applied(_))));
+    let revision = ground.take(&ground.order("x", CommandKind::Drain, 20_000));
+    assert!(ground.ended(revision).iter().all(|s| matches!(s, CommandState::Applied(_))));
     ground.field.all_ways(|r| r.cut = false);
     // The other way: voters hear it, agents do not. It owns on, and says how each pair ended.
     let (owner, token) = owner(&ground.field).expect("an owner");
     assert_eq!(owner, second);
     (0..4).for_each(|n| ground.field.way(End::Agent(n), owner, |r| r.cut = true));
     std::thread::sleep(Duration::from_millis(LEASE * 3));
-    let revision = ground.take(&ground.order("y", Act::Undrain, 1_500));
+    let revision = ground.take(&ground.order("y", CommandKind::Undrain, 1_500));
     let ends = ground.ended(revision);
-    assert!(ends.iter().all(|s| matches!(s, State::Failed { .. })), "{ends:?}");
+    assert!(ends.iter().all(|s| matches!(s, CommandState::Failed { .. })), "{ends:?}");
     assert_eq!(notchspool_lab::ground::play::owner(&ground.field), Some((owner, token)));
     (0..4).for_each(|n| assert_eq!(ground.field.takes_clients(n), Some(false), "nobody told them"));
     ground.field.all_ways(|r| r.cut = false);
-    let revision = ground.take(&ground.order("z", Act::Undrain, 20_000));
-    assert!(ground.ended(revision).iter().all(|s| matches!(s, State::Applied(_))));
+    let revision = ground.take(&ground.order("z", CommandKind::Undrain, 20_000));
+    assert!(ground.ended(revision).iter().all(|s| matches!(s, CommandState::Applied(_))));
     ground.sound();
 }
 
@@ -279,12 +282,12 @@
     for &k in &others[..2] {
         ground.field.keepers[k].kill();
     }
-    let revision = ground.take(&ground.order("two", Act::Drain, 20_000));
+    let revision = ground.take(&ground.order("two", CommandKind::Drain, 20_000));
     assert!(
-        ground.ended(revision).iter().all(|s| matches!(s, State::Applied(_))),
+        ground.ended(revision).iter().all(|s| matches!(s, CommandState::Applied(_))),
         "three of five are enough"
     );
-    let revision = ground.take(&ground.order("back", Act::Undrain, 20_000));
+    let revision = ground.take(&ground.order("back", CommandKind::Undrain, 20_000));
     ground.ended(revision);
     ground.field.keepers[others[2]].kill();
     wait("the last owner stops itself", PATIENCE, || owner(&ground.field).is_none()).expect("nobody");
@@ -298,8 +301,8 @@
     let refused = ground.client().ask(&Body::Instances, Duration::from_millis(800));
     assert!(refused.is_err(), "{refused:?}");
     heal(&mut ground.field).expect("all start again");
-    let revision = ground.take(&ground.order("after", Act::Drain, 20_000));
-    assert!(ground.ended(revision).iter().all(|s| matches!(s, State::Applied(_))));
+    let revision = ground.take(&ground.order("after", CommandKind::Drain, 20_000));
+    assert!(ground.ended(revision).iter().all(|s| matches!(s, CommandState::Applied(_))));
     ground.sound();
 }
 
@@ -308,7 +311,7 @@
 #[case(Disk::Torn)]
 fn a_voter_that_lost_its_disk_votes_only_once_the_others_have_told_it_all(#[case] disk: Disk) {
     let mut ground = started("disk", 3, 2);
-    let revision = ground.take(&ground.order("x", Act::Drain, 20_000));
+    let revision = ground.take(&ground.order("x", CommandKind::Drain, 20_000));
     ground.ended(revision);
     let owner = ground.owner();
     let (ill, other) = ((owner + 1) % 3, (owner + 2) % 3);
@@ -329,9 +332,9 @@
     let there = ground.owner();
     let gone = (0..3).find(|k| *k != ill && *k != there).unwrap_or(there);
     ground.field.keepers[gone].kill();
-    assert!(ground.states(revision).iter().all(|s| matches!(s, State::Applied(_))));
-    let revision = ground.take(&ground.order("y", Act::Undrain, 20_000));
-    assert!(ground.ended(revision).iter().all(|s| matches!(s, State::Applied(_))));
+    assert!(ground.states(revision).iter().all(|s| matches!(s, CommandState::Applied(_))));
+    let revision = ground.take(&ground.order("y", CommandKind::Undrain, 20_000));
+    assert!(ground.ended(revision).iter().all(|s| matches!(s, CommandState::Applied(_))));
     ground.sound();
 }
 
@@ -344,12 +347,19 @@
     let mut n = 0;
     wait("it can't write", PATIENCE, || {
         n += 1;
-        ground.take(&ground.order(&format!("o{n}"), [Act::Drain, Act::Undrain][n % 2], 20_000));
+        ground.take(&ground.order(
+            &format!("o{n}"),
+            [CommandKind::Drain, CommandKind::Undrain][n % 2],
+            20_000,
+        ));
         ground.keeper(full).is_some_and(|k| k.voter == "ill")
     })
     .expect("ill");
-    let revision = ground.take(&ground.order("x", Act::Undrain, 20_000));
-    assert!(ground.ended(revision).iter().all(|s| matches!(s, State::Applied(_))), "two of three are enough");
+    let revision = ground.take(&ground.order("x", CommandKind::Undrain, 20_000));
+    assert!(
+        ground.ended(revision).iter().all(|s| matches!(s, CommandState::Applied(_))),
+        "two of three are enough"
+    );
     ground.field.keepers[full].limit_files(None).expect("no limit");
     ground.voter(full, "votes");
     ground.sound();
@@ -373,8 +383,8 @@
         let said = ground.client().ask(&Body::LetGo, PATIENCE).expect("an answer");
         assert_eq!(said, Body::Done);
     }
-    let revision = ground.take(&ground.order("x", Act::Drain, 20_000));
-    assert!(ground.ended(revision).iter().all(|s| matches!(s, State::Applied(_))));
+    let revision = ground.take(&ground.order("x", CommandKind::Drain, 20_000));
+    assert!(ground.ended(revision).iter().all(|s| matches!(s, CommandState::Applied(_))));
     ground.sound();
 }
 
@@ -391,31 +401,31 @@
 fn a_wave_has_no_more_out_than_stated_and_halts_where_instances_refuse() {
     let ground = started("wave", 3, 8);
     let quarter = |id: &str, act, within| Order { part: Some(0.25), ..ground.order(id, act, within) };
-    let revision = ground.take(&quarter("x", Act::Drain, 2_500));
+    let revision = ground.take(&quarter("x", CommandKind::Drain, 2_500));
     let mut most = [0; 2];
     wait("its time is over", PATIENCE, || {
         let now = away(&ground);
         most = [most[0].max(now[0]), most[1].max(now[1])];
-        ground.states(revision).iter().all(State::is_final)
+        ground.states(revision).iter().all(CommandState::is_final)
     })
     .expect("an end");
     assert_eq!((most, away(&ground)), ([1, 1], [1, 1]), "a quarter of four in each zone");
     let states = ground.states(revision);
-    let count = |wanted: fn(&State) -> bool| states.iter().filter(|s| wanted(s)).count();
-    assert_eq!(count(|s| matches!(s, State::Applied(_))), 2, "{states:?}");
-    assert_eq!(count(|s| matches!(s, State::Failed { told: false, .. })), 6, "{states:?}");
-    let back = ground.take(&quarter("y", Act::Undrain, 20_000));
+    let count = |wanted: fn(&CommandState) -> bool| states.iter().filter(|s| wanted(s)).count();
+    assert_eq!(count(|s| matches!(s, CommandState::Applied(_))), 2, "{states:?}");
+    assert_eq!(count(|s| matches!(s, CommandState::Failed { sent: false, .. })), 6, "{states:?}");
+    let back = ground.take(&quarter("y", CommandKind::Undrain, 20_000));
     assert!(
-        ground.ended(back).iter().all(|s| matches!(s, State::Applied(_))),
+        ground.ended(back).iter().all(|s| matches!(s, CommandState::Applied(_))),
         "nothing holds up the way back"
     );
     // Files that make no sense: the first two refuse, and no more are asked.
     for n in 0..8 {
         std::fs::write(ground.field.plan.folder.join(format!("a{n}.toml")), "name = 7\n").expect("spoilt");
     }
-    let revision = ground.take(&quarter("z", Act::Reload, 3_000));
+    let revision = ground.take(&quarter("z", CommandKind::Reload, 3_000));
     let states = ground.ended(revision);
-    let refused = states.iter().filter(|s| matches!(s, State::Refused(_))).count();
+    let refused = states.iter().filter(|s| matches!(s, CommandState::Refused(_))).count();
     assert!((2..=4).contains(&refused), "{states:?}");
     let Ok(Body::OrdersAre { orders }) = ground.client().ask(&Body::Look { revision }, PATIENCE) else {
         panic!("no order")
@@ -435,12 +445,12 @@
         agent.start(&[]).expect("an agent");
     }
     settled(&ground.field, 2).expect("all register");
-    let revision = ground.take(&ground.order("x", Act::Drain, 30_000));
+    let revision = ground.take(&ground.order("x", CommandKind::Drain, 30_000));
     wait("it stands between the two", PATIENCE, || ground.field.agents[0].stands_still()).expect("held");
     ground.field.agents[0].kill();
     ground.field.agents[0].environment(&[]);
     ground.field.agents[0].start(&[]).expect("again");
-    assert!(ground.ended(revision).iter().all(|s| matches!(s, State::Applied(_))));
+    assert!(ground.ended(revision).iter().all(|s| matches!(s, CommandState::Applied(_))));
     assert_eq!(ground.field.takes_clients(0), Some(false));
     ground.sound();
 }
@@ -516,7 +526,7 @@
         sound.replace("\"lab\"", "\"other\""),
         "{}\n".to_owned(),
         "\u{0}\u{1}\u{2}\n".to_owned(),
-        Message::new("lab", "x", 1, Body::Order(ground.order("x", Act::Stop, 0))).written(),
+        Message::new("lab", "x", 1, Body::Order(ground.order("x", CommandKind::Stop, 0))).written(),
     ] {
         let mut io = TcpStream::connect(at).expect("a keeper");
         io.set_read_timeout(Some(PATIENCE)).expect("a bound");
@@ -554,7 +564,7 @@
 }
 
 impl Scripted {
-    fn session(&self, token: u64, revision: u64, act: Act) {
+    fn session(&self, token: u64, revision: u64, act: CommandKind) {
         let (io, _) = self.listener.accept().expect("an agent");
         io.set_read_timeout(Some(Duration::from_millis(700))).expect("a bound");
         let mut write = io.try_clone().expect("a way back");
@@ -613,14 +623,14 @@
     // The new owner's orders, one after the other; its first session ends with the question for tokens.
     let mut n = 0;
     wait("the new owner's drain is done", PATIENCE, || {
-        scripted.session(7, 2, Act::Drain);
+        scripted.session(7, 2, CommandKind::Drain);
         n += 1;
         !noted(&ground).is_empty()
     })
     .expect("done");
     // Then the old one wakes, with a later revision that nobody but it knows of.
     for _ in 0..3 {
-        scripted.session(5, 3, Act::Undrain);
+        scripted.session(5, 3, CommandKind::Undrain);
     }
     if fence {
         let log = ground.field.agents[0].noted();
@@ -668,7 +678,7 @@
         hello.no,
         Body::Registered { id: InstanceId(0), epoch: Epoch(1), token: token(5), again_us: 50_000 },
     );
-    say(&mut io, 0, told(1, Act::Reload, 5));
+    say(&mut io, 0, told(1, CommandKind::Reload, 5));
     let (mut asks, _) = listener.accept().expect("it asks what was seen");
     let asked = heard(&asks);
     let said =
@@ -679,7 +689,7 @@
         reply: said,
     };
     say(&mut asks, asked.no, Body::Answer(answer));
-    say(&mut io, 0, told(2, Act::Drain, 5));
+    say(&mut io, 0, told(2, CommandKind::Drain, 5));
     drop(io);
     // The next owner's word comes while the drain still waits.
     let (mut io, _) = listener.accept().expect("the agent again");
@@ -727,8 +737,8 @@
         agent.start(&[]).expect("an agent");
     }
     settled(&ground.field, 2).expect("all register with the two that speak alike");
-    let revision = ground.take(&ground.order("x", Act::Drain, 20_000));
-    assert!(ground.ended(revision).iter().all(|s| matches!(s, State::Applied(_))));
+    let revision = ground.take(&ground.order("x", CommandKind::Drain, 20_000));
+    assert!(ground.ended(revision).iter().all(|s| matches!(s, CommandState::Applied(_))));
     let said = (0..2).any(|n| ground.field.keepers[n].noted().contains("form 2 is not known here"));
     assert!(said, "it says so");
     ground.sound();
--- a/crates/command-controller/src/notes.rs
+++ b/crates/command-controller/src/notes.rs
@@ -1,7 +1,7 @@
 //! What the office writes into its registers, and how it is read again. Keys: `head`, `m/N` for sixteen members each, `o/N` for an
 //! order in place N; places are used again, so that registers never grow beyond what there is.
-use notchspool_commands::book::State;
-use notchspool_commands::{Act, Epoch, InstanceId, Revision};
+use notchspool_commands::command_log::CommandState;
+use notchspool_commands::{CommandKind, Epoch, InstanceId, Revision};
 use serde::{Deserialize, Serialize};
 
 pub const SHARD: u32 = 16;
@@ -31,10 +31,10 @@
     pub revision: Revision,
     pub id: String,
     pub author: String,
-    pub act: Act,
+    pub act: CommandKind,
     pub part: f64,
     pub halted: Option<String>,
-    pub states: Vec<(InstanceId, State)>,
+    pub states: Vec<(InstanceId, CommandState)>,
     /// Till its deadline when this was written: clocks of two keepers have nothing in common. It stands last, and alone is no
     /// reason to write.
     pub left_us: i64,
--- a/crates/command-controller/src/office.rs
+++ b/crates/command-controller/src/office.rs
@@ -2,18 +2,18 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use notchspool::units::Micros;
-use notchspool_commands::book::{self, Book, NotTaken, State};
-use notchspool_commands::{Act, Epoch, InstanceId, Outcome, Revision, Subject};
+use notchspool_commands::command_log::{self, CommandLog, CommandState, SubmitError};
+use notchspool_commands::{CommandKind, Epoch, InstanceId, Outcome, Revision, Subject};
 use notchspool_consensus::Token;
 use notchspool_fleet_protocol::{Instance, Order, Ordered, Report};
-use notchspool_leases::leases::{self, Leases, Renewal, Standing};
+use notchspool_leases::lease_table::{self, LeaseState, LeaseTable, Registration, Renewal};
 
 use crate::notes::{self, Head, Member};
 use crate::wave::{Service, Tide, halts};
 
 #[derive(Clone, Copy, Debug)]
 pub struct Terms {
-    pub leases: leases::Terms,
+    pub leases: lease_table::LeasePolicy,
     /// Of a zone and of all, out at once at the most, where an order does not say.
     pub part: f64,
     /// Orders that are kept, those at their end everywhere.
@@ -28,7 +28,7 @@
     pub id: InstanceId,
     pub epoch: Epoch,
     pub revision: Revision,
-    pub act: Act,
+    pub act: CommandKind,
 }
 
 struct Known {
@@ -55,8 +55,8 @@
 pub struct Office {
     terms: Terms,
     pub token: Token,
-    book: Book,
-    leases: Leases,
+    book: CommandLog,
+    leases: LeaseTable,
     known: BTreeMap<InstanceId, Known>,
     taken: BTreeMap<Revision, Taken>,
     by_id: BTreeMap<String, Revision>,
@@ -79,20 +79,12 @@
 /// Instances at once, with those that are gone and remembered.
 const MOST: usize = 8_192;
 
-/// What became of a registration.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Registered {
-    pub id: InstanceId,
-    pub epoch: Epoch,
-    pub again_in: Micros,
-}
-
 impl Office {
     /// By this owner's clock, when an order that it saw written before it owned is over: a change of owners puts it off no more. Who
     /// saw nothing counts from what was left when it was written last.
     pub fn due(&mut self, deadlines: &BTreeMap<Revision, Micros>) {
         for (revision, deadline) in deadlines {
-            self.book.due(*revision, deadline.0);
+            self.book.shorten_deadline(*revision, deadline.0);
         }
     }
 
@@ -108,8 +100,8 @@
         let mut office = Office {
             terms,
             token,
-            book: Book::default(),
-            leases: Leases::open(terms.leases, head.epoch, seed, now),
+            book: CommandLog::default(),
+            leases: LeaseTable::new(terms.leases, head.epoch, seed, now),
             known: BTreeMap::new(),
             taken: BTreeMap::new(),
             by_id: BTreeMap::new(),
@@ -152,7 +144,7 @@
 
     fn restore(&mut self, now: Micros, place: u32, note: notes::Order) {
         let left = Micros(note.left_us);
-        let order = book::Order { author: note.author, act: note.act, deadline: (now + left).0 };
+        let order = command_log::Command { author: note.author, kind: note.act, deadline: (now + left).0 };
         self.book.restore(self.head.revision, note.revision, order, note.states);
         self.by_id.insert(note.id.clone(), note.revision);
         let taken = Taken {
@@ -190,21 +182,21 @@
         zone: &str,
         life: u64,
         report: Report,
-    ) -> Result<Registered, Micros> {
+    ) -> Result<Registration, Micros> {
         if let Some(id) = self.instance(name)
             && self.known.get(&id).is_some_and(|k| k.life == life)
             && let Some(epoch) = self.leases.member(id).map(|m| m.epoch)
-            && let Renewal::Good { again_in, .. } = self.leases.renew(now, id, epoch)
+            && let Renewal::Renewed { renew_in, .. } = self.leases.renew(now, id, epoch)
         {
             self.heard(now, id, report);
-            return Ok(Registered { id, epoch, again_in });
+            return Ok(Registration { id, epoch, renew_in });
         }
         // Guards against names without end: who is known is let in all the same.
         if self.known.len() >= MOST && self.instance(name).is_none() {
             return Err(Micros::ms(5_000));
         }
-        let leases::Registered { id, epoch, again_in } = self.leases.register(now, name)?;
-        self.book.lost(id);
+        let Registration { id, epoch, renew_in } = self.leases.register(now, name)?;
+        self.book.on_contact_lost(id);
         self.drained.remove(&id);
         self.touch_all();
         self.head.epoch = epoch;
@@ -213,12 +205,12 @@
         let fresh = Known { name: name.to_owned(), zone, life, heard: Some(now), report };
         self.known.insert(id, fresh);
         self.stir = true;
-        Ok(Registered { id, epoch, again_in })
+        Ok(Registration { id, epoch, renew_in })
     }
 
     pub fn renew(&mut self, now: Micros, id: InstanceId, epoch: Epoch, report: Report) -> Renewal {
         let renewal = self.leases.renew(now, id, epoch);
-        if let Renewal::Good { .. } = renewal {
+        if let Renewal::Renewed { .. } = renewal {
             self.heard(now, id, report);
         }
         renewal
@@ -254,7 +246,7 @@
             return Ok((*revision, self.book.states(*revision).len()));
         }
         let there = |id: &InstanceId| {
-            self.leases.member(*id).is_some_and(|m| !matches!(m.standing, Standing::Gone(_)))
+            self.leases.member(*id).is_some_and(|m| !matches!(m.state, LeaseState::Gone(_)))
         };
         let meant = self.known.iter().filter(|(id, k)| there(id) && order.whom.means(&k.name, &k.zone));
         let whom: BTreeSet<InstanceId> = meant.map(|(id, _)| *id).collect();
@@ -264,10 +256,10 @@
         // Before it is taken: those that it overtakes are at their end after, and that has to be written too.
         self.touch_all();
         let deadline = (now + Micros(order.within_us)).0;
-        let entry = book::Order { author: order.author.clone(), act: order.act, deadline };
-        let revision = self.book.take(entry, &whom, order.on).map_err(|why| match why {
-            NotTaken::Nobody => "no instance that is there is meant".to_owned(),
-            NotTaken::Moved(moved) => {
+        let entry = command_log::Command { author: order.author.clone(), kind: order.act, deadline };
+        let revision = self.book.submit(entry, &whom, order.on).map_err(|why| match why {
+            SubmitError::NoTarget => "no instance that is there is meant".to_owned(),
+            SubmitError::Conflict(moved) => {
                 let named = moved.iter().take(3).filter_map(|(id, r)| Some((self.known.get(id)?, r)));
                 let named: Vec<String> = named.map(|(k, r)| format!("{} at {}", k.name, r.0)).collect();
                 format!("another order came meanwhile: {}", named.join(", "))
@@ -302,10 +294,12 @@
     /// An instance says what it did. True where it counted.
     pub fn said(&mut self, id: InstanceId, epoch: Epoch, revision: Revision, outcome: &Outcome) -> bool {
         let Some(member) = self.leases.member(id) else { return false };
-        let counted = self.book.said(id, epoch, member.epoch, revision, outcome);
-        let ended = match (self.book.order(revision).map(|o| o.act), outcome) {
-            (Some(Act::Undrain), Outcome::Done) => self.drained.get(&id).is_some_and(|d| *d < revision),
-            (Some(Act::Drain), Outcome::Refused(_)) => self.drained.get(&id) == Some(&revision),
+        let counted = self.book.on_outcome(id, epoch, member.epoch, revision, outcome);
+        let ended = match (self.book.command(revision).map(|o| o.kind), outcome) {
+            (Some(CommandKind::Undrain), Outcome::Done) => {
+                self.drained.get(&id).is_some_and(|d| *d < revision)
+            }
+            (Some(CommandKind::Drain), Outcome::Refused(_)) => self.drained.get(&id) == Some(&revision),
             _ => false,
         };
         if ended {
@@ -328,9 +322,9 @@
     /// Time goes on.
     pub fn pass(&mut self, now: Micros) {
         self.touch_all();
-        let gone = self.leases.pass(now);
+        let gone = self.leases.tick(now);
         for id in &gone {
-            self.book.lost(*id);
+            self.book.on_contact_lost(*id);
         }
         self.stir |= !gone.is_empty();
         let forgotten: Vec<InstanceId> =
@@ -338,36 +332,42 @@
         for id in forgotten {
             self.known.remove(&id);
             self.drained.remove(&id);
-            self.book.dropped(id);
+            self.book.remove_instance(id);
             self.shards.insert(id.0 / notes::SHARD);
         }
-        self.book.pass(now);
-        self.book.forget(self.terms.keep);
+        self.book.tick(now);
+        self.book.prune(self.terms.keep);
         let book = &self.book;
-        self.taken.retain(|revision, _| book.order(*revision).is_some());
+        self.taken.retain(|revision, _| book.command(*revision).is_some());
         let taken = &self.taken;
         self.by_id.retain(|_, revision| taken.contains_key(revision));
         self.touched.retain(|revision| taken.contains_key(revision));
     }
 
-    fn standing(&self, id: InstanceId) -> Standing {
-        self.leases.member(id).map_or(Standing::Gone(Micros(0)), |m| m.standing)
+    fn standing(&self, id: InstanceId) -> LeaseState {
+        self.leases.member(id).map_or(LeaseState::Gone(Micros(0)), |m| m.state)
     }
 
     /// Whether it serves nobody now, by an order or by itself.
     fn out(&self, id: InstanceId) -> bool {
-        let pending = |s: &State| matches!(s, State::Told(_) | State::Unknown(_));
-        let service = self.book.stands(id, Subject::Service).is_some_and(|(r, s)| {
-            let drains = self.book.order(r).is_some_and(|o| o.act == Act::Drain);
-            drains && !matches!(s, State::Queued | State::Refused(_) | State::Failed { told: false, .. })
+        let pending = |s: &CommandState| matches!(s, CommandState::Sent(_) | CommandState::Unknown(_));
+        let service = self.book.current(id, Subject::Service).is_some_and(|(r, s)| {
+            let drains = self.book.command(r).is_some_and(|o| o.kind == CommandKind::Drain);
+            drains
+                && !matches!(
+                    s,
+                    CommandState::Queued
+                        | CommandState::Refused(_)
+                        | CommandState::Failed { sent: false, .. }
+                )
         });
-        let other = [Subject::Terms, Subject::Life];
-        let other = other.iter().any(|s| self.book.stands(id, *s).is_some_and(|(_, s)| pending(s)));
+        let other = [Subject::Configuration, Subject::Process];
+        let other = other.iter().any(|s| self.book.current(id, *s).is_some_and(|(_, s)| pending(s)));
         // Guards against orders that overtake one another: a drain that was told may be done later than an undrain was ordered.
         // Whom this owner has not heard yet may be out by what it was told before.
         let known = self.known.get(&id);
         let unheard = known.is_none_or(|k| k.heard.is_none() || k.report.away);
-        service || other || unheard || self.drained.contains_key(&id) || self.standing(id) != Standing::Live
+        service || other || unheard || self.drained.contains_key(&id) || self.standing(id) != LeaseState::Live
     }
 
     /// Who is to be told now; what that changes in the book is written first.
@@ -376,7 +376,7 @@
         let there: Vec<InstanceId> = self
             .known
             .keys()
-            .filter(|id| !matches!(self.standing(**id), Standing::Gone(_)))
+            .filter(|id| !matches!(self.standing(**id), LeaseState::Gone(_)))
             .copied()
             .collect();
         for id in &there {
@@ -386,25 +386,25 @@
         let mut tells = Vec::new();
         for id in there {
             let Some(epoch) = self.leases.member(id).map(|m| m.epoch) else { continue };
-            for (revision, act) in self.book.to_tell(id, epoch) {
+            for (revision, act) in self.book.pending_for(id, epoch) {
                 let Some(taken) = self.taken.get(&revision) else { continue };
                 let before = match self.book.state(id, revision) {
-                    Some(State::Told(then) | State::Unknown(then)) => Some(*then),
-                    Some(State::Applied(_)) => Some(epoch),
+                    Some(CommandState::Sent(then) | CommandState::Unknown(then)) => Some(*then),
+                    Some(CommandState::Applied(_)) => Some(epoch),
                     _ => None,
                 };
                 // A stop is for the life that it was told to.
-                if act == Act::Stop && before.is_some_and(|then| then < epoch) {
+                if act == CommandKind::Stop && before.is_some_and(|then| then < epoch) {
                     continue;
                 }
                 let zone = &self.known[&id].zone;
                 if before.is_none() {
                     // Guards against taking for out already, and so for free, who is merely not heard: by a new owner, or as
                     // its lease ran out.
-                    if self.known[&id].heard.is_none() || self.standing(id) != Standing::Live {
+                    if self.known[&id].heard.is_none() || self.standing(id) != LeaseState::Live {
                         continue;
                     }
-                    let goes = act != Act::Undrain && !self.out(id);
+                    let goes = act != CommandKind::Undrain && !self.out(id);
                     if taken.halted.is_some() || (goes && !tide.may(zone, taken.part)) {
                         continue;
                     }
@@ -416,8 +416,8 @@
                 if lately && before == Some(epoch) {
                     continue;
                 }
-                self.book.told(id, epoch, revision);
-                if act == Act::Drain {
+                self.book.on_sent(id, epoch, revision);
+                if act == CommandKind::Drain {
                     self.drained.insert(id, revision);
                 }
                 self.touched.insert(revision);
@@ -431,11 +431,16 @@
     fn halt(&mut self) {
         for (revision, taken) in self.taken.iter_mut().filter(|t| t.1.halted.is_none()) {
             let states = self.book.states(*revision);
-            if !states.iter().any(|s| s.1 == State::Queued) {
+            if !states.iter().any(|s| s.1 == CommandState::Queued) {
                 continue;
             }
-            let bad = |s: &State| {
-                matches!(s, State::Refused(_) | State::Unknown(_) | State::Failed { told: true, .. })
+            let bad = |s: &CommandState| {
+                matches!(
+                    s,
+                    CommandState::Refused(_)
+                        | CommandState::Unknown(_)
+                        | CommandState::Failed { sent: true, .. }
+                )
             };
             let bad = states.iter().filter(|s| bad(&s.1)).count();
             taken.halted = halts(bad, states.len(), taken.before, self.service.since(taken.counts));
@@ -462,7 +467,7 @@
             changes.insert(notes::members(shard), notes::written(&all));
         }
         for revision in std::mem::take(&mut self.touched) {
-            let (Some(order), Some(taken)) = (self.book.order(revision), self.taken.get_mut(&revision))
+            let (Some(order), Some(taken)) = (self.book.command(revision), self.taken.get_mut(&revision))
             else {
                 continue;
             };
@@ -470,7 +475,7 @@
                 revision,
                 id: taken.id.clone(),
                 author: order.author.clone(),
-                act: order.act,
+                act: order.kind,
                 part: taken.part,
                 halted: taken.halted.clone(),
                 states: self.book.states(revision),
@@ -489,7 +494,7 @@
         let (book, leases) = (&self.book, &self.leases);
         self.sent.retain(|(id, revision), _| match (book.state(*id, *revision), leases.member(*id)) {
             // Done in an earlier life, and told again to this one.
-            (Some(State::Applied(then)), Some(member)) => *then < member.epoch,
+            (Some(CommandState::Applied(then)), Some(member)) => *then < member.epoch,
             (Some(state), Some(_)) => !state.is_final(),
             _ => false,
         });
@@ -499,39 +504,40 @@
     pub fn list(&self, now: Micros) -> Vec<Instance> {
         let one = |(id, k): (&InstanceId, &Known)| {
             let member = self.leases.member(*id);
-            let service = self.book.stands(*id, Subject::Service);
+            let service = self.book.current(*id, Subject::Service);
             Instance {
                 id: *id,
                 name: k.name.clone(),
                 zone: k.zone.clone(),
                 epoch: member.map(|m| m.epoch).unwrap_or_default(),
                 standing: match self.standing(*id) {
-                    Standing::Live => "live",
-                    Standing::Held(_) => "held",
-                    Standing::Gone(_) => "gone",
+                    LeaseState::Live => "live",
+                    LeaseState::Held(_) => "held",
+                    LeaseState::Gone(_) => "gone",
                 }
                 .into(),
                 heard_us: k.heard.map(|at| (now - at).0),
                 report: k.report.clone(),
-                service: service.and_then(|(r, s)| Some((r, self.book.order(r)?.act, s.clone()))),
+                service: service.and_then(|(r, s)| Some((r, self.book.command(r)?.kind, s.clone()))),
             }
         };
         self.known.iter().map(one).collect()
     }
 
     pub fn ordered(&self, now: Micros, revision: Revision, whole: bool) -> Option<Ordered> {
-        let (order, taken) = (self.book.order(revision)?, self.taken.get(&revision)?);
+        let (order, taken) = (self.book.command(revision)?, self.taken.get(&revision)?);
         let states = self.book.states(revision);
         let mut counts: BTreeMap<String, usize> = BTreeMap::new();
         for (_, state) in &states {
             *counts.entry(word(state).to_owned()).or_default() += 1;
         }
-        let named = |(id, state): (InstanceId, State)| Some((self.known.get(&id)?.name.clone(), state));
+        let named =
+            |(id, state): (InstanceId, CommandState)| Some((self.known.get(&id)?.name.clone(), state));
         Some(Ordered {
             revision,
             id: taken.id.clone(),
             author: order.author.clone(),
-            act: order.act,
+            act: order.kind,
             part: taken.part,
             left_us: (Micros(order.deadline) - now).0,
             halted: taken.halted.clone(),
@@ -547,16 +553,16 @@
 }
 
 /// The word for a state, as it is shown.
-pub fn word(state: &State) -> &'static str {
+pub fn word(state: &CommandState) -> &'static str {
     match state {
-        State::Queued => "queued",
-        State::Told(_) => "told",
-        State::Unknown(_) => "unknown",
-        State::Applied(_) => "applied",
-        State::Refused(_) => "refused",
-        State::Failed { late: Some(_), .. } => "late",
-        State::Failed { told: true, .. } => "failed",
-        State::Failed { told: false, .. } => "not-told",
-        State::Overtaken(_) => "overtaken",
+        CommandState::Queued => "queued",
+        CommandState::Sent(_) => "told",
+        CommandState::Unknown(_) => "unknown",
+        CommandState::Applied(_) => "applied",
+        CommandState::Refused(_) => "refused",
+        CommandState::Failed { late: Some(_), .. } => "late",
+        CommandState::Failed { sent: true, .. } => "failed",
+        CommandState::Failed { sent: false, .. } => "not-told",
+        CommandState::Superseded(_) => "overtaken",
     }
 }
--- a/crates/command-controller/tests/office.rs
+++ b/crates/command-controller/tests/office.rs
@@ -4,19 +4,24 @@
 
 use notchspool::units::Micros;
 use notchspool_command_controller::{Office, Tell, Terms};
-use notchspool_commands::book::State;
-use notchspool_commands::{Act, Epoch, InstanceId, Outcome, Revision};
+use notchspool_commands::command_log::CommandState;
+use notchspool_commands::{CommandKind, Epoch, InstanceId, Outcome, Revision};
 use notchspool_consensus::Token;
 use notchspool_fleet_protocol::{Order, Report, Whom};
-use notchspool_leases::leases::{self, Renewal};
+use notchspool_leases::lease_table::{self, Renewal};
 use oorandom::Rand64;
 
 fn terms() -> Terms {
-    let leases = leases::Terms { lease: Micros::ms(3000), rate: 1e6, burst: 1e6, ..leases::Terms::default() };
+    let leases = lease_table::LeasePolicy {
+        duration: Micros::ms(3000),
+        rate: 1e6,
+        burst: 1e6,
+        ..lease_table::LeasePolicy::default()
+    };
     Terms { leases, part: 0.25, keep: 50, again: Micros::ms(500) }
 }
 
-fn order(id: &str, act: Act, part: Option<f64>) -> Order {
+fn order(id: &str, act: CommandKind, part: Option<f64>) -> Order {
     Order {
         id: id.into(),
         author: "op".into(),
@@ -63,7 +68,7 @@
         self.office = Office::open(terms(), token, &self.kept, 2, self.now);
         assert_eq!(self.office.unread, Vec::<String>::new());
     }
-    fn states(&self, revision: Revision) -> Vec<(String, State)> {
+    fn states(&self, revision: Revision) -> Vec<(String, CommandState)> {
         self.office.ordered(self.now, revision, true).expect("an order").states
     }
 }
@@ -74,13 +79,13 @@
     for n in 0..4 {
         play.register(n, 1);
     }
-    let first = play.office.take(play.now, &order("x", Act::Drain, Some(1.0))).expect("taken");
+    let first = play.office.take(play.now, &order("x", CommandKind::Drain, Some(1.0))).expect("taken");
     play.flush();
-    assert_eq!(play.office.take(play.now, &order("x", Act::Drain, Some(1.0))), Ok(first));
+    assert_eq!(play.office.take(play.now, &order("x", CommandKind::Drain, Some(1.0))), Ok(first));
     play.next_owner();
-    assert_eq!(play.office.take(play.now, &order("x", Act::Drain, Some(1.0))), Ok(first));
+    assert_eq!(play.office.take(play.now, &order("x", CommandKind::Drain, Some(1.0))), Ok(first));
     assert_eq!(play.states(first.0).len(), 4);
-    let other = play.office.take(play.now, &order("y", Act::Undrain, None)).expect("taken");
+    let other = play.office.take(play.now, &order("y", CommandKind::Undrain, None)).expect("taken");
     assert!(other.0 > first.0, "revisions only grow over owners");
 }
 
@@ -101,7 +106,7 @@
 fn a_stop_is_for_the_life_it_was_told_to() {
     let mut play = Play::new();
     let (id, _) = play.register(0, 1);
-    let (revision, _) = play.office.take(play.now, &order("s", Act::Stop, Some(1.0))).expect("taken");
+    let (revision, _) = play.office.take(play.now, &order("s", CommandKind::Stop, Some(1.0))).expect("taken");
     play.flush();
     assert_eq!(play.told.len(), 1);
     play.told.clear();
@@ -110,25 +115,25 @@
     play.pass(600);
     play.pass(600);
     assert_eq!(play.told, [], "the life it was told to is over: nobody stops the next one");
-    assert!(matches!(play.states(revision)[0].1, State::Unknown(_)));
+    assert!(matches!(play.states(revision)[0].1, CommandState::Unknown(_)));
     assert!(
         !play.office.said(id, Epoch(epoch.0 - 1), revision, &Outcome::Done),
         "an earlier life's word is fenced"
     );
     play.pass(5000);
-    assert!(matches!(play.states(revision)[0].1, State::Failed { told: true, .. }));
+    assert!(matches!(play.states(revision)[0].1, CommandState::Failed { sent: true, .. }));
 }
 
 #[test]
 fn the_next_owner_knows_what_was_overtaken() {
     let mut play = Play::new();
     play.register(0, 1);
-    let (first, _) = play.office.take(play.now, &order("d", Act::Drain, Some(1.0))).expect("taken");
+    let (first, _) = play.office.take(play.now, &order("d", CommandKind::Drain, Some(1.0))).expect("taken");
     play.flush();
-    let (second, _) = play.office.take(play.now, &order("u", Act::Undrain, None)).expect("taken");
+    let (second, _) = play.office.take(play.now, &order("u", CommandKind::Undrain, None)).expect("taken");
     play.flush();
     play.next_owner();
-    assert_eq!(play.states(first)[0].1, State::Overtaken(second));
+    assert_eq!(play.states(first)[0].1, CommandState::Superseded(second));
 }
 
 #[test]
@@ -136,7 +141,8 @@
     for saw in [true, false] {
         let mut play = Play::new();
         play.register(0, 1);
-        let (revision, _) = play.office.take(play.now, &order("d", Act::Drain, Some(1.0))).expect("taken");
+        let (revision, _) =
+            play.office.take(play.now, &order("d", CommandKind::Drain, Some(1.0))).expect("taken");
         play.flush();
         // The five seconds run while nobody owns.
         play.now = play.now + Micros::ms(4_000);
@@ -155,7 +161,8 @@
 fn a_drain_is_told_anew_to_a_new_life() {
     let mut play = Play::new();
     let (id, epoch) = play.register(0, 1);
-    let (revision, _) = play.office.take(play.now, &order("d", Act::Drain, Some(1.0))).expect("taken");
+    let (revision, _) =
+        play.office.take(play.now, &order("d", CommandKind::Drain, Some(1.0))).expect("taken");
     play.flush();
     assert!(play.office.said(id, epoch, revision, &Outcome::Done));
     play.flush();
@@ -196,7 +203,8 @@
                     all[n] = One { id, epoch, life: all[n].life, ..One::default() };
                 }
                 2 => {
-                    let act = [Act::Drain, Act::Undrain, Act::Reload][chance.rand_range(0..3) as usize];
+                    let act = [CommandKind::Drain, CommandKind::Undrain, CommandKind::Reload]
+                        [chance.rand_range(0..3) as usize];
                     let asked = order(&format!("o{step}"), act, None);
                     // All may hang by then: nobody is meant.
                     if let Ok((revision, whom)) = play.office.take(play.now, &asked) {
@@ -213,7 +221,7 @@
                 let next = Office::open(terms(), Token(99), &play.kept, 1, play.now);
                 let states =
                     next.ordered(play.now, tell.revision, true).expect("written before it is told").states;
-                assert!(states.iter().any(|s| !matches!(s.1, State::Queued)));
+                assert!(states.iter().any(|s| !matches!(s.1, CommandState::Queued)));
                 let Some(one) = all.iter_mut().find(|o| o.id == tell.id && o.epoch == tell.epoch) else {
                     continue;
                 };
@@ -221,8 +229,8 @@
                     continue;
                 }
                 one.away = match tell.act {
-                    Act::Drain => true,
-                    Act::Undrain => false,
+                    CommandKind::Drain => true,
+                    CommandKind::Undrain => false,
                     _ => one.away,
                 };
                 if done.insert((tell.id, tell.epoch, tell.revision)) && chance.rand_float() < 0.9 {
@@ -236,7 +244,7 @@
                     one.epoch,
                     Report { away: one.away, ..Report::default() },
                 );
-                assert!(matches!(renewal, Renewal::Good { .. } | Renewal::Unknown | Renewal::Fenced(_)));
+                assert!(matches!(renewal, Renewal::Renewed { .. } | Renewal::Unknown | Renewal::Fenced(_)));
             }
             let gone: BTreeSet<InstanceId> = play
                 .office
@@ -267,7 +275,7 @@
 fn a_note_that_can_not_be_read_is_named_and_the_rest_counts() {
     let mut play = Play::new();
     play.register(0, 1);
-    play.office.take(play.now, &order("x", Act::Drain, None)).expect("taken");
+    play.office.take(play.now, &order("x", CommandKind::Drain, None)).expect("taken");
     play.flush();
     play.kept.insert("o/7".into(), "{\"revision\":".into());
     play.kept.insert("strange".into(), "1".into());
--- a/crates/commands/src/lib.rs
+++ b/crates/commands/src/lib.rs
@@ -1,12 +1,14 @@
-//! Orders to many instances. `book` is the keeper's side: what was ordered, by whom, and what became of it at each
-//! instance. `obey` is an instance's side: each revision is done at most once, whatever is told twice, late or in
+//! Commands to many instances of a fleet. [`command_log`] is the controller's side: what was ordered, by whom, and what became of it at
+//! each instance. [`executor`] is an instance's side: each revision is executed once at most, whatever is sent twice, late or in
 //! another order. Neither knows a socket, a disk or a clock.
 //!
-//! Held always, and tried by walking all interleavings of small cases in `tests/walk.rs`: an order that was taken stays in the
-//! book; no instance does a revision twice in one life; none is reported as applied that was not; overtaken is final;
-//! with contact and time every pair of order and instance comes to an end.
-pub mod book;
-pub mod obey;
+//! Invariants, tried by walking all interleavings of small cases in `tests/walk.rs`: a command that was taken stays in the log; no
+//! instance executes a revision twice in one epoch; none is reported as applied that was not; superseded is final; with contact and
+//! time every pair of command and instance comes to an end.
+#![warn(missing_docs)]
+
+pub mod command_log;
+pub mod executor;
 
 macro_rules! ids {
     ($($(#[$doc:meta])* $name:ident($inner:ty);)*) => {$(
@@ -17,49 +19,60 @@
     )*};
 }
 ids! {
-    /// The number of an order; later ones are larger.
+    /// The number of a command; later ones are larger.
     Revision(u64);
-    /// An instance, by the number that the keeper gave its name.
+    /// An instance, by the number that the controller gave its name.
     InstanceId(u32);
-    /// One life of an instance: each start has a larger one.
+    /// The epoch of an instance: each start has a larger one.
     Epoch(u64);
 }
 
+/// What a command wants done.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Act {
+pub enum CommandKind {
+    /// Send clients away.
     Drain,
+    /// Serve again.
     Undrain,
+    /// Read the configuration again.
     Reload,
+    /// End.
     Stop,
 }
 
-/// What an act is about. A later act on the same subject overtakes an earlier one.
+/// What a command is about. A later command on the same subject supersedes an earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Subject {
+    /// Whether it serves.
     Service,
-    Terms,
-    Life,
+    /// What it is configured with.
+    Configuration,
+    /// Whether it runs.
+    Process,
 }
 
-impl Act {
+impl CommandKind {
+    /// What it is about.
     pub fn subject(self) -> Subject {
         match self {
-            Act::Drain | Act::Undrain => Subject::Service,
-            Act::Reload => Subject::Terms,
-            Act::Stop => Subject::Life,
+            CommandKind::Drain | CommandKind::Undrain => Subject::Service,
+            CommandKind::Reload => Subject::Configuration,
+            CommandKind::Stop => Subject::Process,
         }
     }
-    /// Whether what it brought about ends with the life of the instance, so that the next one has to hear of it.
-    fn fades(self) -> bool {
-        self == Act::Drain
+    /// Whether its effect ends with the instance's epoch, so that it has to be sent to the next one.
+    fn is_transient(self) -> bool {
+        self == CommandKind::Drain
     }
 }
 
-/// What an instance says of a revision.
+/// What an instance reports of a revision.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
+    /// Executed.
     Done,
+    /// Not executed, for this reason.
     Refused(String),
 }
--- a/crates/fleet-controller/src/core.rs
+++ b/crates/fleet-controller/src/core.rs
@@ -9,7 +9,7 @@
 use notchspool_consensus::lease_owner::{Contender, Effects, Event};
 use notchspool_consensus::{ContenderId, OWNER_KEY, OwnerRecord, Request, Space, VoterId};
 use notchspool_fleet_protocol::{Body, Keeper, Message};
-use notchspool_leases::leases::Renewal;
+use notchspool_leases::lease_table::Renewal;
 use oorandom::Rand64;
 use rustix::process::{Signal, getpid, kill_process};
 use tokio::net::TcpListener;
@@ -430,20 +430,20 @@
             Body::Register { zone, life, report } => match office.register(now, from, &zone, life, report) {
                 Ok(r) => {
                     self.at.insert(r.id, call);
-                    let (id, epoch, again_us) = (r.id, r.epoch, r.again_in.0);
+                    let (id, epoch, again_us) = (r.id, r.epoch, r.renew_in.0);
                     after(Body::Registered { id, epoch, token, again_us });
                 }
                 Err(wait) => self.say(call, no, Body::Later { after_us: wait.0 }),
             },
             Body::Renew { id, epoch, report } => {
                 let body = match office.renew(now, id, epoch, report) {
-                    Renewal::Good { again_in, .. } => {
+                    Renewal::Renewed { renew_in, .. } => {
                         self.at.insert(id, call);
-                        Body::Renewed { token, again_us: again_in.0 }
+                        Body::Renewed { token, again_us: renew_in.0 }
                     }
                     Renewal::Fenced(_) => Body::Anew { fenced: true },
                     Renewal::Unknown => Body::Anew { fenced: false },
-                    Renewal::Later(wait) => Body::Later { after_us: wait.0 },
+                    Renewal::RetryAfter(wait) => Body::Later { after_us: wait.0 },
                 };
                 self.say(call, no, body);
             }
--- a/crates/fleet-controller/src/file.rs
+++ b/crates/fleet-controller/src/file.rs
@@ -4,7 +4,7 @@
 
 use notchspool::units::Micros;
 use notchspool_consensus::Parameters;
-use notchspool_leases::leases;
+use notchspool_leases::lease_table;
 use notchspool_settings::place::Mistake;
 use serde::Deserialize;
 use toml::Spanned;
@@ -145,12 +145,12 @@
     let ms = |ms: f64| Micros((ms * 1000.0).round() as i64);
     let lease = ms(within(&form.lease_ms, 200.0, 60_000.0));
     let (i, w) = (&form.instances, &form.waves);
-    let leases = leases::Terms {
-        lease: ms(within(&i.lease_ms, 200.0, 600_000.0)),
-        guard_part: within(&i.guard_part, 0.0, 1.0),
-        window: ms(within(&i.window_ms, 0.0, 3_600_000.0)),
-        hold: ms(within(&i.hold_ms, 0.0, 3_600_000.0)),
-        remember: ms(within(&i.remember_ms, 1_000.0, 86_400_000.0)),
+    let leases = lease_table::LeasePolicy {
+        duration: ms(within(&i.lease_ms, 200.0, 600_000.0)),
+        guard_fraction: within(&i.guard_part, 0.0, 1.0),
+        guard_window: ms(within(&i.window_ms, 0.0, 3_600_000.0)),
+        guard_hold: ms(within(&i.hold_ms, 0.0, 3_600_000.0)),
+        retention: ms(within(&i.remember_ms, 1_000.0, 86_400_000.0)),
         rate: within(&i.rate, 0.1, 1e6),
         burst: within(&i.burst, 1.0, 1e6),
     };
--- a/crates/fleet-protocol/src/lib.rs
+++ b/crates/fleet-protocol/src/lib.rs
@@ -9,8 +9,8 @@
 
 use std::collections::BTreeMap;
 
-use notchspool_commands::book::State;
-use notchspool_commands::{Act, Epoch, InstanceId, Outcome, Revision};
+use notchspool_commands::command_log::CommandState;
+use notchspool_commands::{CommandKind, Epoch, InstanceId, Outcome, Revision};
 use notchspool_consensus::{Request, Response, Token};
 use serde::{Deserialize, Serialize};
 
@@ -73,7 +73,7 @@
         job: String,
         epoch: Epoch,
         revision: Revision,
-        act: Act,
+        act: CommandKind,
     },
     /// An agent did, or says why not.
     Did {
@@ -150,7 +150,7 @@
 pub struct Order {
     pub id: String,
     pub author: String,
-    pub act: Act,
+    pub act: CommandKind,
     pub whom: Whom,
     pub within_us: i64,
     /// Out at once at the most, of a zone and of the whole; none: as the keepers' files say.
@@ -195,7 +195,7 @@
     pub heard_us: Option<i64>,
     pub report: Report,
     /// The last order on its service, and where that stands.
-    pub service: Option<(Revision, Act, State)>,
+    pub service: Option<(Revision, CommandKind, CommandState)>,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -204,7 +204,7 @@
     pub revision: Revision,
     pub id: String,
     pub author: String,
-    pub act: Act,
+    pub act: CommandKind,
     pub part: f64,
     /// Till its deadline; below nothing: it is over.
     pub left_us: i64,
@@ -212,7 +212,7 @@
     pub halted: Option<String>,
     /// How many stand where; and who, where one order is looked at.
     pub counts: BTreeMap<String, usize>,
-    pub states: Vec<(String, State)>,
+    pub states: Vec<(String, CommandState)>,
 }
 
 /// A keeper, as it says itself.
@@ -356,7 +356,7 @@
         let order = |part, within_us| Order {
             id: "a".into(),
             author: "b".into(),
-            act: Act::Drain,
+            act: CommandKind::Drain,
             whom: Whom { all: true, ..Whom::default() },
             within_us,
             part: Some(part),
--- a/crates/lab/src/ground/judge.rs
+++ b/crates/lab/src/ground/judge.rs
@@ -2,7 +2,7 @@
 //! what the keepers' book says in the end, who said to own when it was asked. No process is judged by its own word alone.
 use std::collections::{BTreeMap, BTreeSet};
 
-use notchspool_commands::book::State;
+use notchspool_commands::command_log::CommandState;
 use notchspool_fleet_protocol::Ordered;
 
 /// Something was done to an agent, as it noted itself.
@@ -119,7 +119,7 @@
             None => wrong.push(format!("{agent} did revision {revision}, which is no order")),
             Some(o) => {
                 let state = o.states.iter().find(|(name, _)| name == agent).map(|s| &s.1);
-                if !matches!(state, Some(s) if !matches!(s, State::Failed { told: false, late: None } | State::Queued))
+                if !matches!(state, Some(s) if !matches!(s, CommandState::Failed { sent: false, late: None } | CommandState::Queued))
                 {
                     wrong.push(format!("{agent} did revision {revision}, which stands as {state:?}"));
                 }
@@ -132,7 +132,7 @@
                 wrong.push(format!("revision {revision} at {agent} came to no end: {state:?}"));
             }
             let noted = done.contains(&(agent.as_str(), *revision)) || history.killed.contains(agent);
-            if matches!(state, State::Applied(_)) && !noted {
+            if matches!(state, CommandState::Applied(_)) && !noted {
                 wrong.push(format!("revision {revision} is told as applied, and {agent} noted nothing"));
             }
         }
@@ -168,15 +168,15 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use notchspool_commands::{Act, Epoch, Revision};
+    use notchspool_commands::{CommandKind, Epoch, Revision};
     use rstest::rstest;
 
-    fn order(revision: u64, state: State) -> Ordered {
+    fn order(revision: u64, state: CommandState) -> Ordered {
         Ordered {
             revision: Revision(revision),
             id: format!("o{revision}"),
             author: "t".into(),
-            act: Act::Drain,
+            act: CommandKind::Drain,
             part: 1.0,
             left_us: -1,
             halted: None,
@@ -191,7 +191,7 @@
         History {
             effects: effects("a0", log),
             asked: vec![Asked { id: "o1".into(), told: vec![1, 1] }],
-            book: vec![order(1, State::Applied(Epoch(1))), order(2, State::Applied(Epoch(1)))],
+            book: vec![order(1, CommandState::Applied(Epoch(1))), order(2, CommandState::Applied(Epoch(1)))],
             polls: [(0, 9, 1), (5, 30, 1), (10, 20, 2), (40, 50, 2)]
                 .map(|(asked_us, answered_us, token)| Poll { asked_us, answered_us, owns: Some(token) })
                 .into(),
@@ -211,8 +211,8 @@
     #[case::lost(|h: &mut History| drop(h.book.remove(0)), "is lost")]
     #[case::two_revisions(|h: &mut History| h.asked[0].told = vec![1, 2], "acknowledged as {1, 2}")]
     #[case::no_order(|h: &mut History| h.effects[1].revision = 9, "which is no order")]
-    #[case::not_told(|h: &mut History| h.book[0] = order(1, State::Failed { told: false, late: None }), "stands as")]
-    #[case::no_end(|h: &mut History| h.book[0] = order(1, State::Told(Epoch(1))), "came to no end")]
+    #[case::not_told(|h: &mut History| h.book[0] = order(1, CommandState::Failed { sent: false, late: None }), "stands as")]
+    #[case::no_end(|h: &mut History| h.book[0] = order(1, CommandState::Sent(Epoch(1))), "came to no end")]
     #[case::not_done(|h: &mut History| h.effects[1].done = false, "noted nothing")]
     #[case::two_owners(|h: &mut History| h.polls[3].owns = Some(1), "after 2 was owned under")]
     fn each_fault_is_refused(#[case] spoil: fn(&mut History), #[case] why: &str) {
--- a/crates/lab/src/ground/measure.rs
+++ b/crates/lab/src/ground/measure.rs
@@ -2,7 +2,7 @@
 //! acknowledged, what a keeper costs, and whether every instance of many obeys in time.
 use std::time::{Duration, Instant};
 
-use notchspool_commands::Act;
+use notchspool_commands::CommandKind;
 use notchspool_fleet_protocol::client::Client;
 use notchspool_fleet_protocol::{Body, Order, Whom};
 
@@ -20,7 +20,7 @@
     LetGo,
 }
 
-fn order(id: &str, act: Act, whom: Whom, within_ms: i64) -> Order {
+fn order(id: &str, act: CommandKind, whom: Whom, within_ms: i64) -> Order {
     Order {
         id: id.into(),
         author: "measure".into(),
@@ -97,7 +97,7 @@
                         if began.elapsed() >= span {
                             break;
                         }
-                        let act = if nth % 2 == 0 { Act::Drain } else { Act::Undrain };
+                        let act = if nth % 2 == 0 { CommandKind::Drain } else { CommandKind::Undrain };
                         let whom =
                             Whom { names: vec![format!("a{}", (who + nth) % agents)], ..Whom::default() };
                         let order = order(&format!("m{who}-{nth}"), act, whom, 2_000);
@@ -151,9 +151,9 @@
     use notchspool_command_controller::{Office, Terms};
     use notchspool_commands::Outcome;
     use notchspool_fleet_protocol::Report;
-    use notchspool_leases::leases;
+    use notchspool_leases::lease_table;
 
-    let terms = leases::Terms { rate: 1e9, burst: 1e9, ..leases::Terms::default() };
+    let terms = lease_table::LeasePolicy { rate: 1e9, burst: 1e9, ..lease_table::LeasePolicy::default() };
     let terms = Terms { leases: terms, part: 1.0, keep: 200, again: Micros::ms(500) };
     let mut office = Office::open(terms, notchspool_consensus::Token(1), &Default::default(), 1, Micros(0));
     let mut all = Vec::new();
@@ -173,7 +173,7 @@
     }
     let renewal = us(began, instances);
     let began = Instant::now();
-    let taken = office.take(now, &order("x", Act::Drain, all_of(), 10_000));
+    let taken = office.take(now, &order("x", CommandKind::Drain, all_of(), 10_000));
     office.pass(now);
     let (changes, _) = office.flush(now);
     let ordered = us(began, 1);
@@ -213,7 +213,7 @@
     let Some((place, _)) = owner(&field) else { return Err("nobody owns".into()) };
     let keepers = field.seen_all(End::Client);
     let began = Instant::now();
-    let id = order("drain-all", Act::Drain, all_of(), within.as_millis() as i64);
+    let id = order("drain-all", CommandKind::Drain, all_of(), within.as_millis() as i64);
     let asked = {
         let (mut client, id) = (Client::new("lab", &keepers, "measure"), id.clone());
         std::thread::spawn(move || client.ask(&Body::Order(id), PATIENCE))
@@ -250,8 +250,8 @@
             let away = field.takes_clients(n) == Some(false);
             let applied = matches!(
                 state,
-                notchspool_commands::book::State::Applied(_)
-                    | notchspool_commands::book::State::Failed { late: Some(_), .. }
+                notchspool_commands::command_log::CommandState::Applied(_)
+                    | notchspool_commands::command_log::CommandState::Failed { late: Some(_), .. }
             );
             untrue += usize::from(away != applied);
         }
--- a/crates/lab/src/ground/play.rs
+++ b/crates/lab/src/ground/play.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use notchspool_commands::{Act, Revision};
+use notchspool_commands::{CommandKind, Revision};
 use notchspool_fleet_protocol::client::Client;
 use notchspool_fleet_protocol::{Body, Order, Whom};
 use oorandom::Rand64;
@@ -201,7 +201,8 @@
             break;
         }
         let mut below = |n: usize| chance.rand_range(0..n as u64) as usize;
-        let act = [Act::Drain, Act::Undrain, Act::Undrain, Act::Reload][below(4)];
+        let act =
+            [CommandKind::Drain, CommandKind::Undrain, CommandKind::Undrain, CommandKind::Reload][below(4)];
         let whom = match below(3) {
             0 => Whom { names: vec![format!("a{}", below(agents))], ..Whom::default() },
             1 => Whom { zones: vec![format!("z{}", below(zones))], ..Whom::default() },
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -1,10 +1,12 @@
-//! Who is there: instances hold leases and renew them. The keeper's side, without I/O; time and chance are handed in.
+//! Which instances of a fleet are there: they hold leases and renew them. No I/O; time and randomness are handed in.
 //!
-//! It follows the project's own source in spirit: a lease that runs out is a sign, not a proof; many that run out together are
-//! a sign of the keeper's own sight, and are held instead of being declared gone.
+//! A lease that expires is a sign that its instance is gone, not a proof; many that expire together are a sign of a fault at the
+//! observer, and are held instead of being declared gone.
 //!
-//! Held always, and tried by random histories in `tests/leases.rs`: the epochs of a name only grow, and what an earlier life says
-//! is fenced off; nobody is declared gone while the guard holds; renewals are admitted before new names; what is kept is
-//! bounded by who is there and who was there lately.
-pub mod admit;
-pub mod leases;
+//! Invariants, tried by random histories in `tests/lease_table.rs`: the epochs of a name only grow, and calls of an earlier epoch are fenced
+//! off; no instance is declared gone while the guard holds; renewals are admitted before new names; what is kept is bounded by the
+//! instances that are there or were there lately.
+#![warn(missing_docs)]
+
+pub mod admission;
+pub mod lease_table;
--- a/crates/leases/tests/conformance.rs
+++ b/crates/leases/tests/conformance.rs
@@ -8,19 +8,19 @@
 use notchspool_commands::Epoch;
 use notchspool_consensus::Token;
 use notchspool_consensus::fencing::{Admission, Fence};
-use notchspool_leases::leases::{Leases, Registered, Renewal, Standing, Terms};
+use notchspool_leases::lease_table::{LeasePolicy, LeaseState, LeaseTable, Registration, Renewal};
 use table::{Row, names, rows};
 
 struct Play {
     now: Micros,
-    leases: Leases,
-    known: BTreeMap<String, Registered>,
+    leases: LeaseTable,
+    known: BTreeMap<String, Registration>,
     fence: Fence,
 }
 
 impl Play {
-    fn new(terms: Terms) -> Play {
-        let leases = Leases::open(terms, Epoch(0), 1, Micros(0));
+    fn new(terms: LeasePolicy) -> Play {
+        let leases = LeaseTable::new(terms, Epoch(0), 1, Micros(0));
         Play { now: Micros(0), leases, known: BTreeMap::new(), fence: Fence::default() }
     }
     fn join(&mut self, name: &str) {
@@ -28,14 +28,14 @@
         self.known.insert(name.into(), registered);
     }
     fn renew(&mut self, name: &str) -> Renewal {
-        let Registered { id, epoch, .. } = self.known[name];
+        let Registration { id, epoch, .. } = self.known[name];
         self.leases.renew(self.now, id, epoch)
     }
     fn standing(&self, name: &str) -> &'static str {
-        match self.leases.member(self.known[name].id).map(|m| m.standing) {
-            Some(Standing::Live) => "live",
-            Some(Standing::Held(_)) => "held",
-            Some(Standing::Gone(_)) => "gone",
+        match self.leases.member(self.known[name].id).map(|m| m.state) {
+            Some(LeaseState::Live) => "live",
+            Some(LeaseState::Held(_)) => "held",
+            Some(LeaseState::Gone(_)) => "gone",
             None => "forgotten",
         }
     }
@@ -57,12 +57,12 @@
                     for name in &who {
                         self.renew(name);
                     }
-                    self.leases.pass(self.now);
+                    self.leases.tick(self.now);
                 }
             }
             "wait" => {
                 self.now = self.now + Micros::ms(words[1].parse().expect("a span"));
-                self.leases.pass(self.now);
+                self.leases.tick(self.now);
             }
             wanted @ ("live" | "held" | "gone") => {
                 for name in all() {
@@ -82,30 +82,30 @@
             "old-epoch" => {
                 let old = self.known[&words[1]];
                 self.join(&words[1]);
-                let said = self.leases.renew(self.now, old.id, old.epoch);
-                if !matches!(said, Renewal::Fenced(_)) {
-                    return Err(format!("{said:?}"));
+                let reported = self.leases.renew(self.now, old.id, old.epoch);
+                if !matches!(reported, Renewal::Fenced(_)) {
+                    return Err(format!("{reported:?}"));
                 }
             }
             "anew" => {
-                let said = self.renew(&words[1]);
-                if said != Renewal::Unknown {
-                    return Err(format!("{said:?}"));
+                let reported = self.renew(&words[1]);
+                if reported != Renewal::Unknown {
+                    return Err(format!("{reported:?}"));
                 }
             }
             "crowd" => {
                 let n: usize = words[1].parse().expect("a number");
-                let terms = Terms { rate: 10.0, burst: n as f64, ..Terms::default() };
-                *self = Play::new(Terms { burst: 1e6, rate: 1e6, ..terms });
+                let terms = LeasePolicy { rate: 10.0, burst: n as f64, ..LeasePolicy::default() };
+                *self = Play::new(LeasePolicy { burst: 1e6, rate: 1e6, ..terms });
                 (0..n).for_each(|k| self.join(&format!("k{k}")));
                 let known = self.known.clone();
-                self.leases = Leases::open(terms, Epoch(99), 1, self.now);
+                self.leases = LeaseTable::new(terms, Epoch(99), 1, self.now);
                 for (name, r) in &known {
                     self.leases.restore(self.now, r.id, name, r.epoch);
                 }
                 // New ones come first, and leave room all the same.
                 let new = (0..n).filter(|k| self.leases.register(self.now, &format!("x{k}")).is_ok()).count();
-                let good = known.keys().filter(|k| matches!(self.renew(k), Renewal::Good { .. })).count();
+                let good = known.keys().filter(|k| matches!(self.renew(k), Renewal::Renewed { .. })).count();
                 if new > n / 2 || good + new < n {
                     return Err(format!("{new} new and {good} known of {n} were let in at once"));
                 }
@@ -125,16 +125,17 @@
 
 fn play(row: &Row) -> Option<String> {
     let lease = Micros::ms(3_000);
-    let mut play = Play::new(Terms { lease, rate: 1e6, burst: 1e6, ..Terms::default() });
-    let wrong =
+    let mut play =
+        Play::new(LeasePolicy { duration: lease, rate: 1e6, burst: 1e6, ..LeasePolicy::default() });
+    let failures =
         |words: &Vec<String>| Some(format!("{}: {}: {}", row.name, words.join(" "), play.line(words).err()?));
-    row.lines.iter().find_map(wrong)
+    row.lines.iter().find_map(failures)
 }
 
 #[test]
 fn leases_epochs_and_fences_are_as_the_page_s_source_says() {
     let rows = rows(include_str!("../../../tests/conformance/leases.txt"), "members");
     assert!(rows.len() >= 11);
-    let wrong: Vec<String> = rows.iter().filter_map(play).collect();
-    assert_eq!(wrong, Vec::<String>::new());
+    let failures: Vec<String> = rows.iter().filter_map(play).collect();
+    assert_eq!(failures, Vec::<String>::new());
 }
--- a/crates/quotas/src/lib.rs
+++ b/crates/quotas/src/lib.rs
@@ -1,2 +1,4 @@
-//! Limits, decided without I/O.
-pub mod division;
+//! Quotas of holders in a shared pool, decided without I/O.
+#![warn(missing_docs)]
+
+pub mod quota_pool;
