--- a/crates/idempotency/tests/claim_table.rs
+++ b/crates/idempotency/tests/claim_table.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn two_tickets_told_by_others_both_stand_until_withdrawn_or_past() {
+fn two_tickets_learned_from_others_both_stand_until_withdrawn_or_expired() {
     let mut table = ClaimTable::new(Micros::ms(1_000));
     table.insert(Micros::ms(1), &claim("k", 1, 0));
     table.insert(Micros::ms(1), &claim("k", 2, 0));
--- a/crates/mesh-protocol/src/text_transfer.rs
+++ b/crates/mesh-protocol/src/text_transfer.rs
@@ -37,12 +37,12 @@
     pub rejected: u64,
 }
 
-/// What became of a message that came.
-#[derive(Clone, Debug, PartialEq)]
 #[allow(
     clippy::large_enum_variant,
     reason = "most messages are handed on as they came: boxing them would cost each an allocation"
 )]
+/// What became of a message that came.
+#[derive(Clone, Debug, PartialEq)]
 pub enum Incoming {
     /// It carries this.
     Message(Payload),
