--- a/crates/data-plane/src/outbound.rs
+++ b/crates/data-plane/src/outbound.rs
@@ -1,5 +1,5 @@
 //! Requests that begin on this machine, from a client or from the backend here. Read from top to bottom: accept, route, pick, attempt, retry or
-//! answer.
+//! answer; it is one file, somewhat long, so that this way can be read without a jump.
 //!
 //! 429 and 503 are answered only where nothing ran nor will, or where the request may be repeated anyway; what is given up is answered at
 //! once.
