--- a/crates/mesh-config/src/parse.rs
+++ b/crates/mesh-config/src/parse.rs
@@ -25,8 +25,19 @@
     Err(InvalidConfig { field: field.into(), reason: reason.into() })
 }
 
+impl RouteConfig {
+    /// Parses and checks a configuration. Bytes that are no complete JSON, or make no sense, are refused.
+    ///
+    /// # Errors
+    ///
+    /// The first mistake, by its field.
+    pub fn parse(bytes: &[u8]) -> Result<RouteConfig, InvalidConfig> {
+        config(bytes)
+    }
+}
+
 /// The whole configuration.
-pub fn config(bytes: &[u8]) -> Result<RouteConfig, InvalidConfig> {
+fn config(bytes: &[u8]) -> Result<RouteConfig, InvalidConfig> {
     if std::str::from_utf8(bytes).is_err() {
         return invalid("body", "is not UTF-8");
     }
--- a/crates/mesh-config/src/route_config.rs
+++ b/crates/mesh-config/src/route_config.rs
@@ -132,11 +132,6 @@
 }
 
 impl RouteConfig {
-    /// Parses and checks a configuration. Bytes that are no complete JSON, or make no sense, are refused with their field.
-    pub fn parse(bytes: &[u8]) -> Result<RouteConfig, InvalidConfig> {
-        crate::parse::config(bytes)
-    }
-
     /// From checked parts, which are put in order and indexed.
     pub(crate) fn new(
         version: u64,
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -144,4 +144,20 @@
             self.stats.on_load_report(report, size);
         }
     }
+
+    /// A message of another balancer; see [`Effects::send_to_peer`](crate::units::Effects::send_to_peer).
+    pub fn on_peer_rates(&mut self, message: &str) {
+        self.tenant_rates.on_peer_rates(message);
+    }
+
+    /// The watch or a call for it has failed: the list stays, and the watch resumes after a jittered backoff.
+    pub fn on_list_failed(&mut self) {
+        self.watch.on_failure(self.now, self.policy.watch_within, self.rng.rand_float());
+    }
+
+    /// The list is now asked for at another source: earlier failures say nothing of that one.
+    pub fn on_list_source_changed(&mut self) {
+        self.watch.reset();
+        self.on_list_failed();
+    }
 }
--- a/src/tenant_rates.rs
+++ b/src/tenant_rates.rs
@@ -1,7 +1,6 @@
 //! Requests a second of each tenant, latency pressure, and how long idle connections last: at this balancer, and
 //! the mean of the balancers that it hears from (gossip). No decisions here.
 use crate::backend_state::NEVER;
-use crate::balancer::Balancer;
 use crate::units::Micros;
 
 const SPAN: Micros = Micros::ms(2_000); // time constant: older requests count little
@@ -78,10 +77,3 @@
         }
     }
 }
-
-impl Balancer {
-    /// A message of another balancer; see [`Effects::send_to_peer`](crate::units::Effects::send_to_peer).
-    pub fn on_peer_rates(&mut self, message: &str) {
-        self.tenant_rates.on_peer_rates(message);
-    }
-}
--- a/src/watch_backoff.rs
+++ b/src/watch_backoff.rs
@@ -1,6 +1,5 @@
 //! When the endpoint list is asked for next. A broken watch resumes after a jittered backoff, so that balancers that
 //! lost it together do not ask together.
-use crate::balancer::Balancer;
 use crate::units::Micros;
 
 const SOON: Micros = Micros::ms(250); // without any backend nothing is served: ask within this
@@ -46,16 +45,3 @@
         due
     }
 }
-
-impl Balancer {
-    /// The watch or a call for it has failed: the list stays, and the watch resumes after a jittered backoff.
-    pub fn on_list_failed(&mut self) {
-        self.watch.on_failure(self.now, self.policy.watch_within, self.rng.rand_float());
-    }
-
-    /// The list is now asked for at another source: earlier failures say nothing of that one.
-    pub fn on_list_source_changed(&mut self) {
-        self.watch.reset();
-        self.on_list_failed();
-    }
-}
