--- a/crates/commands/src/lib.rs
+++ b/crates/commands/src/lib.rs
@@ -5,7 +5,7 @@
 //! Invariants, tried by walking all interleavings of small cases in `tests/walk.rs`: a command that was taken stays in the log; no
 //! instance executes a revision twice in one epoch; none is reported as applied that was not; superseded is final; with contact and
 //! time every pair of command and instance comes to an end.
-#![warn(missing_docs)]
+#![warn(missing_docs, clippy::missing_errors_doc)]
 
 pub mod command_log;
 pub mod executor;
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -12,7 +12,7 @@
 //! - what was acknowledged as written is what every later owner begins with;
 //! - a place that has admitted a token does nothing under an older one, whatever owners believe of their leases;
 //! - a voter without its disk promises and accepts nothing until a majority's worth of the others has told it all they know.
-#![warn(missing_docs)]
+#![warn(missing_docs, clippy::missing_errors_doc)]
 
 pub mod acceptor;
 pub mod acceptor_recovery;
--- a/crates/control-plane/src/server/mod.rs
+++ b/crates/control-plane/src/server/mod.rs
@@ -119,7 +119,9 @@
                     continue;
                 };
                 if server.senders.borrow().len() < MAX_CONNECTIONS {
-                    tokio::task::spawn_local(server.clone().carry_incoming(stream));
+                    // It counts from here on: many may come before the first of their tasks runs.
+                    let (connection, sender) = server.add_connection();
+                    tokio::task::spawn_local(server.clone().carry_incoming(stream, connection, sender));
                 }
             }
         });
@@ -209,6 +211,10 @@
 }
 
 /// Runs a replica until SIGTERM. The listener of the settings is the one for operators.
+///
+/// # Errors
+///
+/// Where the disk, a listener or its thread can't be opened at the start.
 pub async fn run(settings: CheckedSettings<SocketAddr>, signals: Signals) -> ServiceResult {
     let CheckedSettings { node: settings, file, listeners: operator_address } = settings;
     let mut process_events = signals.watch(&file);
--- a/crates/control-plane/src/server/peer_links.rs
+++ b/crates/control-plane/src/server/peer_links.rs
@@ -66,20 +66,29 @@
         });
     }
 
-    async fn carry_outgoing(self: &Rc<Server>, stream: TcpStream, address: &str) -> CloseReason {
+    /// A connection that is open from now on, and its sending end.
+    pub(super) fn add_connection(&self) -> (ConnectionId, FrameSender) {
         let (connection, sender) = (self.next_id(), FrameSender::default());
-        sender.send(self.texts.borrow_mut().outgoing(connection, self.hello()));
         self.senders.borrow_mut().insert(connection, sender.clone());
+        (connection, sender)
+    }
+
+    async fn carry_outgoing(self: &Rc<Server>, stream: TcpStream, address: &str) -> CloseReason {
+        let (connection, sender) = self.add_connection();
+        sender.send(self.texts.borrow_mut().outgoing(connection, self.hello()));
         let effects = self.replica.borrow_mut().on_connected(self.clock.now(), connection, address);
         self.carry_out(effects);
         self.carry(stream, connection, sender).await
     }
 
     /// Carries a connection that another opened.
-    pub(super) async fn carry_incoming(self: Rc<Server>, stream: TcpStream) {
+    pub(super) async fn carry_incoming(
+        self: Rc<Server>,
+        stream: TcpStream,
+        connection: ConnectionId,
+        sender: FrameSender,
+    ) {
         frame_connection::configure_socket(&stream);
-        let (connection, sender) = (self.next_id(), FrameSender::default());
-        self.senders.borrow_mut().insert(connection, sender.clone());
         let reason = self.carry(stream, connection, sender).await;
         debug!(target: "control-plane", "a connection ends: {reason}");
     }
--- a/crates/data-plane/src/answer_parser.rs
+++ b/crates/data-plane/src/answer_parser.rs
@@ -66,11 +66,6 @@
         self.buffer
     }
 
-    /// Whether bytes were read behind the last answer.
-    pub fn has_surplus(&self) -> bool {
-        !self.buffer.is_empty()
-    }
-
     async fn read_more(&mut self) -> Result<(), String> {
         match self.stream.read_buf(&mut self.buffer).await {
             Ok(0) => Err("the backend closed".into()),
--- a/crates/data-plane/src/body_pipe.rs
+++ b/crates/data-plane/src/body_pipe.rs
@@ -86,6 +86,10 @@
     }
 
     /// The next chunk, or how the body ended.
+    ///
+    /// # Errors
+    ///
+    /// How the body ended, once all chunks were taken.
     pub async fn next(&self) -> Result<Bytes, BodyEnd> {
         std::future::poll_fn(|cx| self.poll_next(cx)).await
     }
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -10,7 +10,7 @@
 //! The way of a request: [`outbound`] (accept, route, pick, attempt, retry or answer), [`peer_connections`] to the proxy beside the backend,
 //! there [`peer_server`], [`inbound`] (admit) and [`backend_exchange`]. [`control_client`] carries the connections to the replicas,
 //! [`local_api`] answers the platform and the backend, [`proxy`] puts the parts together, [`run`] is the process.
-#![warn(missing_docs)]
+#![warn(missing_docs, clippy::missing_errors_doc)]
 
 pub mod admission;
 pub mod answer_parser;
--- a/crates/data-plane/src/run.rs
+++ b/crates/data-plane/src/run.rs
@@ -172,6 +172,10 @@
 }
 
 /// Runs a proxy until SIGTERM.
+///
+/// # Errors
+///
+/// Where a listener can't be opened at the start.
 pub async fn run(settings: CheckedSettings<Listeners>, signals: Signals) -> ServiceResult {
     let CheckedSettings { node: settings, file, listeners } = settings;
     let mut process_events = signals.watch(&file);
--- a/crates/endpoint-registry/src/lib.rs
+++ b/crates/endpoint-registry/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! [`heartbeats`] is the proxy's view of the backend beside it; [`registry`] is what one control-plane replica gathers from the proxies,
 //! and numbers; [`endpoint_list`] is the list that a proxy holds.
-#![warn(missing_docs)]
+#![warn(missing_docs, clippy::missing_errors_doc)]
 
 pub mod endpoint_list;
 pub mod heartbeats;
--- a/crates/idempotency/src/lib.rs
+++ b/crates/idempotency/src/lib.rs
@@ -9,7 +9,7 @@
 //! - a key runs only while a majority of the voters of one set grants it to one ticket, all under the number of that set;
 //! - a claim is taken back only by who knows that it has not run and never will;
 //! - a voter forgets a claim only a whole window after it granted it, by its own monotonic clock, begun anew with each start.
-#![warn(missing_docs)]
+#![warn(missing_docs, clippy::missing_errors_doc)]
 
 pub mod claim_proposal;
 pub mod claim_table;
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -6,7 +6,7 @@
 //! Invariants, tried by random histories in `tests/lease_table.rs`: the epochs of a name only grow, and calls of an earlier epoch are fenced
 //! off; no instance is declared gone while the guard holds; renewals are admitted before new names; what is kept is bounded by the
 //! instances that are there or were there lately.
-#![warn(missing_docs)]
+#![warn(missing_docs, clippy::missing_errors_doc)]
 
 pub mod admission;
 pub mod lease_table;
--- a/crates/mesh-protocol/src/lib.rs
+++ b/crates/mesh-protocol/src/lib.rs
@@ -5,7 +5,7 @@
 //!
 //! The forms are protocol buffers: names may change, tags and types may not, since an upgrade runs with processes of both builds
 //! (`tests/golden.rs`).
-#![warn(missing_docs)]
+#![warn(missing_docs, clippy::missing_errors_doc)]
 
 pub mod delta;
 mod frame;
--- a/crates/runtime/src/frame_connection.rs
+++ b/crates/runtime/src/frame_connection.rs
@@ -155,6 +155,10 @@
 }
 
 /// Connects within `timeout`.
+///
+/// # Errors
+///
+/// The connection is refused, can't be made, or is not up in time (`TimedOut`).
 pub async fn connect(to: SocketAddr, timeout: Duration) -> std::io::Result<TcpStream> {
     let connected = tokio::time::timeout(timeout, TcpStream::connect(to)).await;
     let stream = connected.map_err(|_| std::io::Error::from(ErrorKind::TimedOut))??;
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,6 +1,6 @@
 //! What the mesh's programs have in common: their start ([`program`]), their settings ([`node_settings`]), their connections to one
 //! another ([`frame_connection`]), signals, the monotonic clock and logs.
-#![warn(missing_docs)]
+#![warn(missing_docs, clippy::missing_errors_doc)]
 
 mod clock;
 pub mod frame_connection;
--- a/crates/runtime/src/node_settings.rs
+++ b/crates/runtime/src/node_settings.rs
@@ -106,12 +106,20 @@
 
 impl NodeSettings {
     /// Reads and checks the file.
+    ///
+    /// # Errors
+    ///
+    /// The file can't be read, or a field makes no sense; the file and the field are named.
     pub fn read(file: &Path) -> Result<NodeSettings, SettingsError> {
         let bytes = std::fs::read(file).map_err(|e| file_error(file, format!("can't be read: {e}")))?;
         NodeSettings::parse(file, &bytes)
     }
 
     /// Checks the bytes of a file; `file` is named in errors.
+    ///
+    /// # Errors
+    ///
+    /// A field makes no sense; the file and the field are named.
     pub fn parse(file: &Path, bytes: &[u8]) -> Result<NodeSettings, SettingsError> {
         let value =
             serde_json::from_slice(bytes).map_err(|e| file_error(file, format!("is no JSON: {e}")))?;
@@ -137,6 +145,10 @@
     }
 
     /// A listener that this role must have.
+    ///
+    /// # Errors
+    ///
+    /// The settings have no listener of this name.
     pub fn listener(&self, file: &Path, name: &str) -> Result<SocketAddr, SettingsError> {
         let address = self.listen.get(name).copied();
         address.ok_or_else(|| SettingsError::missing_for_role(file, &format!("listenAddresses.{name}")))
--- a/crates/runtime/src/signals.rs
+++ b/crates/runtime/src/signals.rs
@@ -26,6 +26,10 @@
     /// Installs the handlers; needs a runtime of tokio around it.
     ///
     /// Writing to a closed pipe is an error, never a signal, by the standard library's own start.
+    ///
+    /// # Errors
+    ///
+    /// The system refuses a handler.
     pub fn install() -> std::io::Result<Signals> {
         Ok(Signals { terminate: signal(SignalKind::terminate())?, hangup: signal(SignalKind::hangup())? })
     }
--- a/crates/storage/src/claim_log.rs
+++ b/crates/storage/src/claim_log.rs
@@ -155,6 +155,10 @@
 
 impl ClaimLog {
     /// The log, and all that it holds. Each claim's window begins anew.
+    ///
+    /// # Errors
+    ///
+    /// The folder or the log can't be opened or read.
     pub fn open(folder: &Path, window: Duration) -> Result<(ClaimLog, Vec<Claim>), StorageError> {
         let snapshot_folder = folder.join("snapshot");
         let checkpointer = Checkpointer { table: Arc::default(), snapshot_folder, window };
@@ -179,6 +183,10 @@
     }
 
     /// Writes the claims and withdrawals of a batch; durable when this returns without an error.
+    ///
+    /// # Errors
+    ///
+    /// The disk refuses; the batch may be there or not.
     pub fn write(&mut self, batch: &[WriteOp]) -> Result<(), StorageError> {
         let records: Vec<LogRecord> = batch.iter().filter_map(LogRecord::new).collect();
         if records.is_empty() {
--- a/crates/storage/src/directory.rs
+++ b/crates/storage/src/directory.rs
@@ -6,18 +6,46 @@
 /// One folder of plain files.
 pub trait Directory: Send {
     /// Names of its files.
+    ///
+    /// # Errors
+    ///
+    /// The folder can't be read.
     fn list(&self) -> Result<Vec<String>>;
     /// The content of a file; `None` where there is no such file.
+    ///
+    /// # Errors
+    ///
+    /// The file is there and can't be read.
     fn read(&self, name: &str) -> Result<Option<Vec<u8>>>;
     /// Makes a file with this content, in place of one of that name; not yet durable.
+    ///
+    /// # Errors
+    ///
+    /// The file can't be written; it may be there in part.
     fn write(&mut self, name: &str, bytes: &[u8]) -> Result<()>;
     /// Makes the content of the file durable.
+    ///
+    /// # Errors
+    ///
+    /// The file may not be durable.
     fn sync(&mut self, name: &str) -> Result<()>;
     /// Renames a file over another.
+    ///
+    /// # Errors
+    ///
+    /// The file can't be renamed.
     fn rename(&mut self, from: &str, to: &str) -> Result<()>;
     /// Removes a file; no error where there is none.
+    ///
+    /// # Errors
+    ///
+    /// The file is there and can't be removed.
     fn remove(&mut self, name: &str) -> Result<()>;
     /// Makes durable what was made, renamed and removed.
+    ///
+    /// # Errors
+    ///
+    /// What was made, renamed and removed may not be durable.
     fn sync_folder(&mut self) -> Result<()>;
 }
 
@@ -26,6 +54,10 @@
 
 impl OsDirectory {
     /// Opens the folder, and makes it where there is none.
+    ///
+    /// # Errors
+    ///
+    /// The folder can't be made.
     pub fn open(path: &Path) -> Result<OsDirectory> {
         std::fs::create_dir_all(path)?;
         Ok(OsDirectory(path.to_path_buf()))
--- a/crates/storage/src/file_store.rs
+++ b/crates/storage/src/file_store.rs
@@ -19,6 +19,10 @@
 
 impl FileStore {
     /// The files of a folder of the machine, which is made where there is none.
+    ///
+    /// # Errors
+    ///
+    /// The folder can't be made.
     pub fn open(folder: &Path) -> Result<FileStore, StorageError> {
         let directory = OsDirectory::open(folder).map_err(storage_error(folder.display().to_string()))?;
         Ok(FileStore::new(Box::new(directory)))
@@ -30,6 +34,10 @@
     }
 
     /// Names of the files; those that were still being written are not among them.
+    ///
+    /// # Errors
+    ///
+    /// The folder can't be read.
     pub fn names(&self) -> Result<Vec<String>, StorageError> {
         let mut names = self.directory.list().map_err(storage_error("the folder"))?;
         names.retain(|name| !name.ends_with(TEMPORARY_SUFFIX));
@@ -47,12 +55,20 @@
     }
 
     /// The content of a file; `None` where there is no such file, or it is torn.
+    ///
+    /// # Errors
+    ///
+    /// The file is there and can't be read.
     pub fn get(&self, name: &str) -> Result<Option<Vec<u8>>, StorageError> {
         let bytes = self.directory.read(name).map_err(storage_error(name))?;
         Ok(bytes.and_then(|bytes| verify_checksum(&bytes)))
     }
 
     /// Replaces a file; durable when this returns without an error.
+    ///
+    /// # Errors
+    ///
+    /// The old file stands, or the new one without being durable.
     pub fn put(&mut self, name: &str, bytes: &[u8]) -> Result<(), StorageError> {
         let temporary = format!("{name}{TEMPORARY_SUFFIX}");
         let written = self
@@ -69,6 +85,10 @@
     }
 
     /// Removes files that must not come back: gone for good when this returns without an error.
+    ///
+    /// # Errors
+    ///
+    /// Some of them may still be there, or come back.
     pub fn remove_all(&mut self, names: &[String]) -> Result<(), StorageError> {
         for name in names {
             self.directory.remove(name).map_err(storage_error(name.as_str()))?;
--- a/crates/storage/src/state_files.rs
+++ b/crates/storage/src/state_files.rs
@@ -83,6 +83,10 @@
 impl StateFiles {
     /// Reads what is there. A complete snapshot is carried out first; its claims are for who keeps them
     /// ([`StateFiles::uninstalled_claims`]).
+    ///
+    /// # Errors
+    ///
+    /// The folder can't be read, or a snapshot that was being installed can't be carried out.
     pub fn open(mut files: FileStore) -> Result<(StateFiles, Recovered), StorageError> {
         files.remove_temporary();
         let snapshot = files.get(SNAPSHOT_FILE)?.and_then(|bytes| snapshot::decode(&bytes));
@@ -142,6 +146,10 @@
     }
 
     /// Writes what a batch has of the register of configurations: the last configuration and the last promise in it.
+    ///
+    /// # Errors
+    ///
+    /// The disk refuses; what was to be written may be there or not.
     pub fn write_register(&mut self, batch: &[WriteOp]) -> Result<(), StorageError> {
         self.ensure_no_snapshot()?;
         let accepted = batch.iter().rev().find_map(|op| match op {
@@ -160,6 +168,10 @@
     }
 
     /// Writes the membership of a batch, once all else of it is there.
+    ///
+    /// # Errors
+    ///
+    /// The disk refuses; what was to be written may be there or not.
     pub fn write_membership(&mut self, batch: &[WriteOp]) -> Result<(), StorageError> {
         let membership = batch.iter().rev().find_map(|op| match op {
             WriteOp::Membership(membership) => Some(membership),
@@ -191,6 +203,10 @@
 
     /// Installs a snapshot: from here on it counts, completely or not at all. Its claims are for who keeps them; then
     /// [`StateFiles::finish_install`] is called.
+    ///
+    /// # Errors
+    ///
+    /// The disk refuses; the snapshot is there completely or not at all.
     pub fn install(&mut self, snapshot: &Snapshot) -> Result<(), StorageError> {
         self.ensure_no_snapshot()?;
         let encoded =
@@ -229,6 +245,10 @@
     }
 
     /// All of the snapshot is where it belongs, its claims too: it is done with.
+    ///
+    /// # Errors
+    ///
+    /// The disk refuses; the snapshot is carried out anew at the next start.
     pub fn finish_install(&mut self) -> Result<(), StorageError> {
         if self.snapshot.is_some() {
             self.carry_out()?;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -3,7 +3,7 @@
 //! A host creates a [`balancer::Balancer`] with its [`units::Policy`], tells it of endpoint lists, load reports, requests and the
 //! ends of attempts, and carries out what comes back through [`units::Effects`]. All chance comes from the seed: the same calls
 //! give the same decisions.
-#![warn(missing_docs)]
+#![warn(missing_docs, clippy::missing_errors_doc)]
 
 mod backend_state;
 pub mod balancer;
