--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -145,7 +145,7 @@
         }
     }
 
-    /// A message of another balancer; see [`Effects::send_to_peer`](crate::units::Effects::send_to_peer).
+    /// A message of another balancer; see [`Effects::send_to_peer`].
     pub fn on_peer_rates(&mut self, message: &str) {
         self.tenant_rates.on_peer_rates(message);
     }
