--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,9 +1,9 @@
 //! The agent: the decisions of `notchspool` on real sockets, beside one calling process. `memory` is the core: the
 //! module, the txns in hand, the list; it knows no protocol. `wire` speaks HTTP and knows the core. `life` puts both
-//! together on what the agent is told. `base` is below all. `control` is a thread of its own for the
-//! fleet's matters.
+//! together on what the agent is told. `base` is below all. `fleet` is a thread of its own for an agent that
+//! belongs to a fleet.
 pub mod base;
-pub mod control;
+pub mod fleet;
 pub mod house;
 pub mod life;
 pub mod memory;
--- a/crates/agent/src/life/mod.rs
+++ b/crates/agent/src/life/mod.rs
@@ -1,7 +1,7 @@
 //! Start, what is told, and the orderly end.
+pub mod fleet_commands;
 pub mod inherited;
 pub mod kept;
-pub mod obey;
 pub mod open;
 pub mod run;
 pub mod start;
--- a/crates/agent/src/life/open.rs
+++ b/crates/agent/src/life/open.rs
@@ -12,11 +12,11 @@
 use tokio::net::{TcpListener, UnixListener};
 
 use super::kept::{Kept, News};
-use super::{obey, run, stop};
+use super::{fleet_commands, run, stop};
 use crate::base::bounds::Room;
 use crate::base::clock::Clock;
 use crate::base::pulse::Pulse;
-use crate::control;
+use crate::fleet;
 use crate::house::build::{Numbers, build};
 use crate::house::pool::Footing;
 use crate::memory::counters::Counters;
@@ -179,10 +179,10 @@
         taken
     });
     if let Some(fleet) = fleet {
-        let (counts, deeds) = control::start(fleet, &told.name).map_err(io::Error::other)?;
+        let (counters, executions) = fleet::join(fleet, &told.name).map_err(io::Error::other)?;
         let (file, take) = (path.clone(), take.clone());
         let taken = move |told| take(told);
-        obey::listen(deeds, counts, serves, gates.clone(), move || self::told(&file), taken);
+        fleet_commands::listen(executions, counters, serves, gates.clone(), move || self::told(&file), taken);
     }
     stop::listen(gates, move || self::told(&path), move |told| take(told))
 }
--- a/crates/cli/src/ground.rs
+++ b/crates/cli/src/fleet_lab.rs
@@ -175,7 +175,7 @@
             Ok(ExitCode::SUCCESS)
         }
         What::Office { instances } => {
-            let (renewal, ordered, done, bytes) = measure::office(*instances);
+            let (renewal, ordered, done, bytes) = measure::controller(*instances);
             println!(
                 "{instances} instances: a renewal {renewal:.1} us; an order to all {:.1} ms and {} kB written; all done {:.1} ms",
                 ordered / 1000.0,
--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab.rs
@@ -30,7 +30,7 @@
     /// Writes one page, with plots, of the runs that were kept.
     Report(Report),
     /// Keepers and agents as many real processes, faults between them, and the figures of who owns.
-    Fleet(crate::ground::Ground),
+    Fleet(crate::fleet_lab::Ground),
     /// The mesh in virtual time: replicas and proxies, drawn faults of links, disks and processes, judged by what was promised. Ends with
     /// 0, or with 1 and the seeds that broke something.
     Mesh {
@@ -178,7 +178,7 @@
         }
         Lab::Audit { books } => judge(&books),
         Lab::Report(asked) => report(&asked),
-        Lab::Fleet(asked) => crate::ground::run(&asked),
+        Lab::Fleet(asked) => crate::fleet_lab::run(&asked),
         Lab::Mesh { from, seeds, storms, members, traffic, jobs } => {
             let play = match (storms, members, traffic) {
                 (true, ..) => notchspool_lab::mesh::storms,
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,6 +1,7 @@
-//! notchspool: the command line. No logic of its own.
+//! The command line `notchspool`: arguments and output, no logic of its own.
+mod controller;
 mod fleet;
-mod ground;
+mod fleet_lab;
 mod lab;
 mod scale;
 mod service;
@@ -10,49 +11,50 @@
 
 use clap::{Parser, Subcommand};
 
+/// What was asked is not so everywhere, or not found.
+const EXIT_INCOMPLETE: u8 = 1;
+/// What was asked makes no sense, or was refused.
+const EXIT_REFUSED: u8 = 2;
+
 #[derive(Parser)]
 #[command(
     name = "notchspool",
     version,
     about = "Client-side load balancing through failures, and a lab to try it in"
 )]
-struct Line {
+struct CommandLine {
     #[command(subcommand)]
-    what: What,
+    command: Command,
 }
 
 #[derive(Subcommand)]
-enum What {
+enum Command {
     /// Runs an agent as an operator's file says; SIGHUP reads it again, SIGTERM ends it.
     Run { file: PathBuf },
     /// Reads an operator's file and names every mistake in it.
     Check { file: PathBuf },
     /// Says which route, pool and scheme a request would take, and why not the earlier ones.
-    Explain(service::Explain),
+    Explain(service::ExplainArgs),
     /// Runs a keeper as its file says; SIGTERM lets go of what it owns and ends it.
-    Keeper(fleet::Keep),
+    Keeper(controller::ControllerArgs),
     /// Lists, questions and orders the instances of a fleet, at whichever keeper owns.
-    Fleet(fleet::Fleet),
+    Fleet(fleet::FleetArgs),
     /// Fleets on sockets, load, faults, an auditor and reports.
     #[command(subcommand)]
     Lab(lab::Lab),
 }
 
 fn main() -> ExitCode {
-    let line = Line::parse();
-    let ended = match line.what {
-        What::Run { file } => service::run(file),
-        What::Check { file } => service::check(&file),
-        What::Explain(asked) => service::explain(&asked),
-        What::Keeper(keep) => fleet::keep(keep),
-        What::Fleet(fleet) => fleet::run(fleet),
-        What::Lab(lab) => lab::run(lab),
+    let result = match CommandLine::parse().command {
+        Command::Run { file } => Ok(service::run(file)),
+        Command::Check { file } => Ok(service::check(&file)),
+        Command::Explain(args) => service::explain(&args),
+        Command::Keeper(args) => Ok(controller::run(args)),
+        Command::Fleet(args) => fleet::run(args),
+        Command::Lab(lab) => lab::run(lab),
     };
-    match ended {
-        Ok(code) => code,
-        Err(why) => {
-            eprintln!("notchspool: {why}");
-            ExitCode::from(2)
-        }
-    }
+    result.unwrap_or_else(|error| {
+        eprintln!("notchspool: {error}");
+        ExitCode::from(EXIT_REFUSED)
+    })
 }
--- a/crates/cli/src/service.rs
+++ b/crates/cli/src/service.rs
@@ -3,12 +3,16 @@
 use std::process::ExitCode;
 
 use clap::Args;
+use notchspool_agent::Micros;
 use notchspool_agent::life::open;
 use notchspool_routes::table::{Asked, Miss, Table};
 use notchspool_settings::file::{House, Route, Sticky};
 
+use crate::{EXIT_INCOMPLETE, EXIT_REFUSED};
+
+/// Arguments of `notchspool explain`.
 #[derive(Args)]
-pub struct Explain {
+pub struct ExplainArgs {
     file: PathBuf,
     #[arg(long, default_value = "GET")]
     method: String,
@@ -24,11 +28,13 @@
     listen: Option<String>,
 }
 
-pub fn run(file: PathBuf) -> Result<ExitCode, String> {
-    Ok(open::open(file))
+/// Runs an agent until its end.
+pub fn run(file: PathBuf) -> ExitCode {
+    open::open(file)
 }
 
-pub fn check(file: &Path) -> Result<ExitCode, String> {
+/// Checks an operator's file.
+pub fn check(file: &Path) -> ExitCode {
     match open::told(file) {
         Ok(house) => {
             println!(
@@ -39,55 +45,59 @@
                 house.schemes.len(),
                 house.routes.len()
             );
-            Ok(ExitCode::SUCCESS)
+            ExitCode::SUCCESS
         }
-        Err(wrong) => {
-            eprintln!("{wrong}");
-            Ok(ExitCode::from(2))
+        Err(mistakes) => {
+            eprintln!("{mistakes}");
+            ExitCode::from(EXIT_REFUSED)
         }
     }
 }
 
-pub fn explain(asked: &Explain) -> Result<ExitCode, String> {
-    let house = match open::told(&asked.file) {
+/// Says which route a request takes, and why not the earlier ones.
+///
+/// # Errors
+///
+/// A listener or header in the arguments that makes no sense.
+pub fn explain(args: &ExplainArgs) -> Result<ExitCode, String> {
+    let house = match open::told(&args.file) {
         Ok(house) => house,
-        Err(wrong) => {
-            eprintln!("{wrong}");
-            return Ok(ExitCode::from(2));
+        Err(mistakes) => {
+            eprintln!("{mistakes}");
+            return Ok(ExitCode::from(EXIT_REFUSED));
         }
     };
-    let listen = match &asked.listen {
-        None => 0,
-        Some(name) => house
-            .doors
-            .iter()
-            .position(|d| d.name == *name)
-            .ok_or_else(|| format!("no listener `{name}` in {}", asked.file.display()))?,
-    };
-    let split = |h: &String| -> Result<(String, String), String> {
-        let (name, value) = h.split_once(':').ok_or_else(|| format!("`{h}` is not `NAME: VALUE`"))?;
-        Ok((name.trim().to_owned(), value.trim().to_owned()))
-    };
-    let headers: Vec<(String, String)> = asked.header.iter().map(split).collect::<Result<_, _>>()?;
-    let headers: Vec<(&str, &str)> = headers.iter().map(|(n, v)| (n.as_str(), v.as_str())).collect();
-    let question =
-        Asked { listen, host: &asked.host, path: &asked.path, method: &asked.method, headers: &headers };
-    let table = Table::new(house.routes.iter().map(|r| r.rule.clone()).collect());
-    for (nth, miss) in table.explain(&question) {
+    let listen = listener(&house, args)?;
+    let headers: Vec<(&str, &str)> =
+        args.header.iter().map(|text| parse_header(text)).collect::<Result<_, _>>()?;
+    let request =
+        Asked { listen, host: &args.host, path: &args.path, method: &args.method, headers: &headers };
+    let table = Table::new(house.routes.iter().map(|route| route.rule.clone()).collect());
+    for (nth, miss) in table.explain(&request) {
         let route = &house.routes[nth];
-        match miss {
-            Some(miss) => println!("not `{}`: {}", route.name, words(&miss)),
-            None => {
-                println!("{}", taken(&house, route));
-                return Ok(ExitCode::SUCCESS);
-            }
-        }
+        let Some(miss) = miss else {
+            println!("{}", describe_route(&house, route));
+            return Ok(ExitCode::SUCCESS);
+        };
+        println!("not `{}`: {}", route.name, describe_miss(&miss));
     }
     println!("no route takes it: 404 NO_ROUTE");
-    Ok(ExitCode::from(1))
+    Ok(ExitCode::from(EXIT_INCOMPLETE))
+}
+
+/// Index of the listener that the request comes to.
+fn listener(house: &House, args: &ExplainArgs) -> Result<usize, String> {
+    let Some(name) = &args.listen else { return Ok(0) };
+    let index = house.doors.iter().position(|listener| listener.name == *name);
+    index.ok_or_else(|| format!("no listener `{name}` in {}", args.file.display()))
+}
+
+fn parse_header(text: &str) -> Result<(&str, &str), String> {
+    let (name, value) = text.split_once(':').ok_or_else(|| format!("`{text}` is not `NAME: VALUE`"))?;
+    Ok((name.trim(), value.trim()))
 }
 
-fn words(miss: &Miss) -> String {
+fn describe_miss(miss: &Miss) -> String {
     match miss {
         Miss::Listener => "another listener".into(),
         Miss::Host => "another host".into(),
@@ -97,11 +107,11 @@
     }
 }
 
-fn taken(house: &House, route: &Route) -> String {
+fn describe_route(house: &House, route: &Route) -> String {
     let scheme = &house.schemes[route.scheme];
-    let ms = |at: notchspool_agent::Micros| at.0 as f64 / 1000.0;
-    let pool = |(at, share): &(usize, f64)| {
-        let pool = &house.pools[*at];
+    let ms = |time: Micros| time.0 as f64 / 1000.0;
+    let pool = |(index, share): &(usize, f64)| {
+        let pool = &house.pools[*index];
         let backup = pool.backup.map(|b| format!(", backup `{}`", house.pools[b].name)).unwrap_or_default();
         format!("  pool `{}`, share {share}{backup}", pool.name)
     };
--- a/crates/cli/tests/owner.rs
+++ b/crates/cli/tests/owner.rs
@@ -9,8 +9,8 @@
 
 use notchspool_commands::command_log::CommandState;
 use notchspool_commands::{CommandKind, Epoch, InstanceId, Revision};
-use notchspool_fleet_protocol::client::Client;
-use notchspool_fleet_protocol::{Body, Keeper, Message, Order, Whom};
+use notchspool_fleet_protocol::client::FleetClient;
+use notchspool_fleet_protocol::{Body, CommandRequest, ControllerStatus, Message, Selector, VoterStatus};
 use notchspool_lab::ground::field::{End, Field, Plan, clear, folder};
 use notchspool_lab::ground::judge::{History, effects, judge};
 use notchspool_lab::ground::play::{book, heal, owner, play, settled};
@@ -86,31 +86,31 @@
 }
 
 impl Ground {
-    fn client(&self) -> Client {
-        Client::new("lab", &self.field.seen_all(End::Client), "test")
+    fn client(&self) -> FleetClient {
+        FleetClient::new("lab", &self.field.seen_all(End::Client), "test")
     }
-    fn order(&self, id: &str, act: CommandKind, within_ms: i64) -> Order {
-        Order {
+    fn order(&self, id: &str, act: CommandKind, within_ms: i64) -> CommandRequest {
+        CommandRequest {
             id: id.into(),
             author: "test".into(),
-            act,
-            whom: Whom { all: true, ..Whom::default() },
+            kind: act,
+            targets: Selector { all: true, ..Selector::default() },
             within_us: within_ms * 1000,
-            part: None,
-            on: None,
+            max_unavailable: None,
+            expected_revision: None,
         }
     }
     /// Takes an order at whoever owns by then.
-    fn take(&self, order: &Order) -> Revision {
-        match self.client().ask(&Body::Order(order.clone()), PATIENCE) {
-            Ok(Body::Taken { revision, .. }) => revision,
+    fn take(&self, order: &CommandRequest) -> Revision {
+        match self.client().ask(&Body::SubmitCommand(order.clone()), PATIENCE) {
+            Ok(Body::CommandAccepted { revision, .. }) => revision,
             other => panic!("not taken: {other:?}"),
         }
     }
     fn states(&self, revision: Revision) -> Vec<CommandState> {
-        match self.client().ask(&Body::Look { revision }, PATIENCE) {
-            Ok(Body::OrdersAre { orders }) => {
-                orders.into_iter().flat_map(|o| o.states).map(|s| s.1).collect()
+        match self.client().ask(&Body::GetCommand { revision }, PATIENCE) {
+            Ok(Body::Commands { commands }) => {
+                commands.into_iter().flat_map(|o| o.states).map(|s| s.1).collect()
             }
             other => panic!("{other:?}"),
         }
@@ -133,16 +133,16 @@
         wait("another owns", PATIENCE, || owner(&self.field).is_some_and(|o| o.0 != than)).expect("another");
         self.owner()
     }
-    fn keeper(&self, n: usize) -> Option<Keeper> {
+    fn keeper(&self, n: usize) -> Option<ControllerStatus> {
         let at = self.field.keeper_at(n);
-        match Client::new("lab", &[at], "test").ask_at(at, &Body::Owner, Duration::from_secs(1)) {
-            Ok(Body::OwnerIs(keeper)) => Some(keeper),
+        match FleetClient::new("lab", &[at], "test").ask_one(at, &Body::GetStatus, Duration::from_secs(1)) {
+            Ok(Body::Status(keeper)) => Some(keeper),
             _ => None,
         }
     }
-    fn voter(&self, n: usize, how: &str) {
+    fn voter(&self, n: usize, how: VoterStatus) {
         wait(&format!("keeper {n} is {how}"), PATIENCE, || self.keeper(n).is_some_and(|k| k.voter == how))
-            .expect(how);
+            .expect("a voter so");
     }
     /// Everything that was noted is sound.
     fn sound(&self) {
@@ -253,7 +253,7 @@
         ground.field.way(End::Keeper(other), first, |r| r.cut = true);
     }
     let second = ground.other_owner(first);
-    wait("the old one says so itself", PATIENCE, || ground.keeper(first).is_some_and(|k| !k.owns))
+    wait("the old one says so itself", PATIENCE, || ground.keeper(first).is_some_and(|k| !k.is_owner))
         .expect("it stops");
     let revision = ground.take(&ground.order("x", CommandKind::Drain, 20_000));
     assert!(ground.ended(revision).iter().all(|s| matches!(s, CommandState::Applied(_))));
@@ -298,7 +298,7 @@
             assert_eq!(ground.field.takes_clients(n), Some(true), "without control they route");
         });
     }
-    let refused = ground.client().ask(&Body::Instances, Duration::from_millis(800));
+    let refused = ground.client().ask(&Body::ListInstances, Duration::from_millis(800));
     assert!(refused.is_err(), "{refused:?}");
     heal(&mut ground.field).expect("all start again");
     let revision = ground.take(&ground.order("after", CommandKind::Drain, 20_000));
@@ -320,14 +320,14 @@
     // One of the two others is away: it can't be told by a majority of them.
     ground.field.keepers[other].kill();
     ground.field.keepers[ill].start(&[]).expect("it starts");
-    ground.voter(ill, "blank");
+    ground.voter(ill, VoterStatus::Blank);
     wait("the owner stops itself", PATIENCE, || notchspool_lab::ground::play::owner(&ground.field).is_none())
         .expect("a voter with a disk and one without are no majority");
     std::thread::sleep(Duration::from_millis(LEASE * 3));
     assert_eq!(notchspool_lab::ground::play::owner(&ground.field), None);
-    assert!(ground.keeper(ill).is_some_and(|k| k.voter == "blank"));
+    assert!(ground.keeper(ill).is_some_and(|k| k.voter == VoterStatus::Blank));
     ground.field.keepers[other].start(&[]).expect("it starts");
-    ground.voter(ill, "votes");
+    ground.voter(ill, VoterStatus::Voting);
     // What was written before outlives the two that had it first.
     let there = ground.owner();
     let gone = (0..3).find(|k| *k != ill && *k != there).unwrap_or(there);
@@ -352,7 +352,7 @@
             [CommandKind::Drain, CommandKind::Undrain][n % 2],
             20_000,
         ));
-        ground.keeper(full).is_some_and(|k| k.voter == "ill")
+        ground.keeper(full).is_some_and(|k| k.voter == VoterStatus::Failing)
     })
     .expect("ill");
     let revision = ground.take(&ground.order("x", CommandKind::Undrain, 20_000));
@@ -361,7 +361,7 @@
         "two of three are enough"
     );
     ground.field.keepers[full].limit_files(None).expect("no limit");
-    ground.voter(full, "votes");
+    ground.voter(full, VoterStatus::Voting);
     ground.sound();
 }
 
@@ -380,8 +380,8 @@
         assert!(token > last, "round {nth}: {token} after {last}");
         last = token;
         // Whoever owns is asked to let go: by then it may be another already.
-        let said = ground.client().ask(&Body::LetGo, PATIENCE).expect("an answer");
-        assert_eq!(said, Body::Done);
+        let said = ground.client().ask(&Body::ReleaseOwnership, PATIENCE).expect("an answer");
+        assert_eq!(said, Body::OwnershipReleased);
     }
     let revision = ground.take(&ground.order("x", CommandKind::Drain, 20_000));
     assert!(ground.ended(revision).iter().all(|s| matches!(s, CommandState::Applied(_))));
@@ -400,7 +400,10 @@
 #[test]
 fn a_wave_has_no_more_out_than_stated_and_halts_where_instances_refuse() {
     let ground = started("wave", 3, 8);
-    let quarter = |id: &str, act, within| Order { part: Some(0.25), ..ground.order(id, act, within) };
+    let quarter = |id: &str, act, within| CommandRequest {
+        max_unavailable: Some(0.25),
+        ..ground.order(id, act, within)
+    };
     let revision = ground.take(&quarter("x", CommandKind::Drain, 2_500));
     let mut most = [0; 2];
     wait("its time is over", PATIENCE, || {
@@ -427,10 +430,11 @@
     let states = ground.ended(revision);
     let refused = states.iter().filter(|s| matches!(s, CommandState::Refused(_))).count();
     assert!((2..=4).contains(&refused), "{states:?}");
-    let Ok(Body::OrdersAre { orders }) = ground.client().ask(&Body::Look { revision }, PATIENCE) else {
+    let Ok(Body::Commands { commands }) = ground.client().ask(&Body::GetCommand { revision }, PATIENCE)
+    else {
         panic!("no order")
     };
-    assert!(orders[0].halted.as_ref().is_some_and(|why| why.contains("refused")), "{:?}", orders[0]);
+    assert!(commands[0].halt_reason.as_ref().is_some_and(|why| why.contains("refused")), "{:?}", commands[0]);
     ground.sound();
 }
 
@@ -459,7 +463,7 @@
 fn every_keeper_names_the_owner_that_there_is() {
     let mut ground = started("names", 3, 1);
     let all_name = |ground: &Ground, token: u64| {
-        let named = |n| ground.keeper(n).and_then(|k| k.owner).map(|o| o.2.0);
+        let named = |n| ground.keeper(n).and_then(|k| k.owner).map(|o| o.token.0);
         wait("every keeper names the owner", PATIENCE, || (0..3).all(|n| named(n) >= Some(token)))
             .unwrap_or_else(|why| panic!("{why}: {:?}", [named(0), named(1), named(2)]));
     };
@@ -495,7 +499,7 @@
                 let mut line = String::new();
                 let Ok(read) = io.try_clone() else { return };
                 let _ = (read.set_read_timeout(Some(PATIENCE)), BufReader::new(read).read_line(&mut line));
-                let Ok(message) = Message::read(line.as_bytes(), "lab") else { continue };
+                let Ok(message) = Message::decode(line.as_bytes(), "lab") else { continue };
                 let owns = n == 2 && asked.iter().all(|a| a.load(Relaxed) >= 2);
                 if owns && matches!(message.body, Body::Register { .. }) {
                     registers.store(true, Relaxed);
@@ -505,7 +509,9 @@
                     asked.fetch_add(1, Relaxed);
                 }
                 let place = Some([1, 0, 0][n]);
-                let line = Message::new("lab", "keeper", message.no, Body::Elsewhere { place }).written();
+                let line =
+                    Message::new("lab", "keeper", message.number, Body::NotOwner { owner_index: place })
+                        .encode();
                 let _ = io.write_all(line.as_bytes());
             }
         });
@@ -520,13 +526,13 @@
 fn messages_without_sense_are_refused_counted_and_change_nothing() {
     let ground = started("sense", 3, 1);
     let at = ground.field.keeper_at(ground.owner());
-    let sound = Message::new("lab", "x", 1, Body::Owner).written();
+    let sound = Message::new("lab", "x", 1, Body::GetStatus).encode();
     for line in [
         sound.replace("\"form\":1", "\"form\":9"),
         sound.replace("\"lab\"", "\"other\""),
         "{}\n".to_owned(),
         "\u{0}\u{1}\u{2}\n".to_owned(),
-        Message::new("lab", "x", 1, Body::Order(ground.order("x", CommandKind::Stop, 0))).written(),
+        Message::new("lab", "x", 1, Body::SubmitCommand(ground.order("x", CommandKind::Stop, 0))).encode(),
     ] {
         let mut io = TcpStream::connect(at).expect("a keeper");
         io.set_read_timeout(Some(PATIENCE)).expect("a bound");
@@ -536,10 +542,10 @@
         assert!(heard.contains("refused"), "{line}: {heard}");
     }
     // A caller's own words are no counter's name: else a table would grow with whatever is sent.
-    let mut client = Client::new("lab", &[at], "x");
+    let mut client = FleetClient::new("lab", &[at], "x");
     for n in 0..50 {
-        let said = client.ask_at(at, &Body::Refused { why: format!("word{n}") }, PATIENCE);
-        assert!(matches!(said, Ok(Body::Refused { .. } | Body::Elsewhere { .. })), "{said:?}");
+        let said = client.ask_one(at, &Body::Rejected { reason: format!("word{n}") }, PATIENCE);
+        assert!(matches!(said, Ok(Body::Rejected { .. } | Body::NotOwner { .. })), "{said:?}");
     }
     let names: Vec<String> =
         (0..3).filter_map(|n| ground.keeper(n)).flat_map(|k| k.refused.into_keys()).collect();
@@ -553,8 +559,8 @@
     assert!(
         ground
             .client()
-            .ask(&Body::Look { revision: Revision(1) }, PATIENCE)
-            .is_ok_and(|b| b == Body::OrdersAre { orders: vec![] })
+            .ask(&Body::GetCommand { revision: Revision(1) }, PATIENCE)
+            .is_ok_and(|b| b == Body::Commands { commands: vec![] })
     );
 }
 
@@ -569,28 +575,28 @@
         io.set_read_timeout(Some(Duration::from_millis(700))).expect("a bound");
         let mut write = io.try_clone().expect("a way back");
         let mut say = |no: u64, body: Body| {
-            let _ = write.write_all(Message::new("lab", "k1", no, body).written().as_bytes());
+            let _ = write.write_all(Message::new("lab", "k1", no, body).encode().as_bytes());
         };
         let token = notchspool_consensus::Token(token);
         for line in BufReader::new(io).lines() {
             let Ok(line) = line else { return };
-            let Ok(message) = Message::read(line.as_bytes(), "lab") else { return };
+            let Ok(message) = Message::decode(line.as_bytes(), "lab") else { return };
             match message.body {
                 Body::Register { .. } => say(
-                    message.no,
-                    Body::Registered { id: InstanceId(0), epoch: Epoch(1), token, again_us: 100_000 },
+                    message.number,
+                    Body::Registered { id: InstanceId(0), epoch: Epoch(1), token, renew_in_us: 100_000 },
                 ),
                 // An owner that was late all along tells it before it answers anything else.
-                Body::Renew { .. } => say(message.no, Body::Renewed { token, again_us: 100_000 }),
+                Body::Renew { .. } => say(message.number, Body::Renewed { token, renew_in_us: 100_000 }),
                 // The agent, with an empty disk, asks what was seen.
-                Body::Ask(_) => {
+                Body::VoterRequest(_) => {
                     let said = notchspool_consensus::Reply::Current {
                         promised: Default::default(),
                         entries: Default::default(),
                     };
                     say(
-                        message.no,
-                        Body::Answer(notchspool_consensus::Response {
+                        message.number,
+                        Body::VoterResponse(notchspool_consensus::Response {
                             incarnation: 0,
                             known_incarnations: Default::default(),
                             reply: said,
@@ -598,12 +604,18 @@
                     );
                     return;
                 }
-                Body::Did { .. } => return,
+                Body::Executed { .. } => return,
                 _ => {}
             }
             say(
                 0,
-                Body::Do { token, job: "orders".into(), epoch: Epoch(1), revision: Revision(revision), act },
+                Body::Execute {
+                    token,
+                    job: "orders".into(),
+                    epoch: Epoch(1),
+                    revision: Revision(revision),
+                    kind: act,
+                },
             );
         }
     }
@@ -651,19 +663,19 @@
     let listener = TcpListener::bind(ground.field.keeper_at(0)).expect("the keeper's place");
     ground.field.agents[0].start(&[]).expect("an agent");
     let say = |io: &mut TcpStream, no: u64, body: Body| {
-        io.write_all(Message::new("lab", "k1", no, body).written().as_bytes()).expect("said");
+        io.write_all(Message::new("lab", "k1", no, body).encode().as_bytes()).expect("said");
     };
     let heard = |io: &TcpStream| {
         let mut line = String::new();
         BufReader::new(io.try_clone().expect("a handle")).read_line(&mut line).expect("a line");
-        Message::read(line.as_bytes(), "lab").expect("a message")
+        Message::decode(line.as_bytes(), "lab").expect("a message")
     };
-    let told = |revision, act, token| Body::Do {
+    let told = |revision, act, token| Body::Execute {
         token: notchspool_consensus::Token(token),
         job: "orders".into(),
         epoch: Epoch(1),
         revision: Revision(revision),
-        act,
+        kind: act,
     };
     let token = notchspool_consensus::Token;
     // Its first own connection; what its empty folder makes it ask comes on others.
@@ -675,8 +687,8 @@
     assert!(std::process::Command::new("mkfifo").arg(&file).status().expect("mkfifo").success());
     say(
         &mut io,
-        hello.no,
-        Body::Registered { id: InstanceId(0), epoch: Epoch(1), token: token(5), again_us: 50_000 },
+        hello.number,
+        Body::Registered { id: InstanceId(0), epoch: Epoch(1), token: token(5), renew_in_us: 50_000 },
     );
     say(&mut io, 0, told(1, CommandKind::Reload, 5));
     let (mut asks, _) = listener.accept().expect("it asks what was seen");
@@ -688,14 +700,14 @@
         known_incarnations: Default::default(),
         reply: said,
     };
-    say(&mut asks, asked.no, Body::Answer(answer));
+    say(&mut asks, asked.number, Body::VoterResponse(answer));
     say(&mut io, 0, told(2, CommandKind::Drain, 5));
     drop(io);
     // The next owner's word comes while the drain still waits.
     let (mut io, _) = listener.accept().expect("the agent again");
     let hello = heard(&io);
     assert!(matches!(hello.body, Body::Renew { .. }), "{hello:?}");
-    say(&mut io, hello.no, Body::Renewed { token: token(7), again_us: 60_000_000 });
+    say(&mut io, hello.number, Body::Renewed { token: token(7), renew_in_us: 60_000_000 });
     let log = || ground.field.agents[0].noted();
     wait("the drain's turn comes", PATIENCE, || log().contains("token 5 is older than 7"))
         .expect("refused at its turn");
@@ -714,7 +726,7 @@
                 let Ok(mut write) = io.try_clone() else { return };
                 for line in BufReader::new(io).lines() {
                     let Ok(line) = line else { return };
-                    let Ok(message) = Message::read(line.as_bytes(), "lab") else { return };
+                    let Ok(message) = Message::decode(line.as_bytes(), "lab") else { return };
                     // Newer than ours, and saying what would be a vote.
                     let said = notchspool_consensus::Reply::Accepted;
                     let answer = notchspool_consensus::Response {
@@ -722,7 +734,8 @@
                         known_incarnations: Default::default(),
                         reply: said,
                     };
-                    let vote = Message::new("lab", "k3", message.no, Body::Answer(answer)).written();
+                    let vote =
+                        Message::new("lab", "k3", message.number, Body::VoterResponse(answer)).encode();
                     if write.write_all(vote.replace("\"form\":1", "\"form\":2").as_bytes()).is_err() {
                         return;
                     }
--- a/crates/fleet-controller/src/lib.rs
+++ b/crates/fleet-controller/src/lib.rs
@@ -1,50 +1,45 @@
-//! A keeper: a voter with its disk, a contender for the fleet's jobs, and, while it owns the orders, their office. One thread does the
-//! disk, so that a disk that hangs stops one vote and no lease of others; all else is one loop (`core`).
-pub mod calls;
-mod core;
-pub mod disk;
-pub mod file;
-mod peers;
-mod seat;
+//! A controller of a fleet of agents (`notchspool keeper`): a voter with its disk, a contender for the ownership of the fleet's commands, and,
+//! while it is the owner, the controller of those commands.
+//!
+//! The voter's disk has a thread of its own ([`voter`]), so that a disk that hangs stops one vote and no lease of others. All else is one event
+//! loop ([`event_loop`]) over one state ([`node`]).
+#![warn(missing_docs, clippy::missing_errors_doc)]
 
-use std::process::ExitCode;
-
-pub use file::File;
+pub mod acceptor_store;
+mod event_loop;
+mod line_connection;
+mod node;
+mod owner;
+pub mod pause_point;
+pub mod settings;
+mod voter;
+mod voter_peers;
 
-/// Where a test stops this process itself, the how manyth time it passes there: between a look at the lease and what follows.
-#[derive(Clone, Debug)]
-pub struct Hold {
-    pub at: String,
-    pub nth: u32,
-}
+use std::process::ExitCode;
 
-impl std::str::FromStr for Hold {
-    type Err = String;
-    fn from_str(text: &str) -> Result<Hold, String> {
-        let (at, nth) = text.split_once(':').ok_or("POINT:N is wanted")?;
-        Ok(Hold { at: at.into(), nth: nth.parse().map_err(|_| format!("`{nth}` is no number"))? })
-    }
-}
+pub use pause_point::PausePoint;
+pub use settings::ControllerSettings;
 
-/// What a start is told beside the file.
+/// What a start is given beside the settings.
 #[derive(Clone, Debug, Default)]
-pub struct Start {
-    /// The fleet is new: this voter begins with an empty disk, and says so.
-    pub first: bool,
-    pub hold: Option<Hold>,
+pub struct StartOptions {
+    /// The fleet is new: this voter begins with an empty disk. Without it a voter that finds no disk takes it for lost.
+    pub first_start: bool,
+    /// Where a test stops this process.
+    pub pause_point: Option<PausePoint>,
 }
 
-/// The keeper until its end.
-pub fn run(file: File, start: Start) -> ExitCode {
+/// Runs the controller until its end.
+pub fn run(settings: ControllerSettings, options: StartOptions) -> ExitCode {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let ended = match runtime {
-        Ok(runtime) => runtime.block_on(core::live(file, start)),
-        Err(why) => Err(format!("no runtime: {why}")),
+        Ok(runtime) => runtime.block_on(event_loop::run(settings, options)),
+        Err(error) => Err(event_loop::StartError::Runtime(error)),
     };
     let code = match ended {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            log::error!("cannot run: {why}");
+        Err(error) => {
+            log::error!("cannot run: {error}");
             ExitCode::FAILURE
         }
     };
--- a/crates/fleet-controller/tests/golden.rs
+++ b/crates/fleet-controller/tests/golden.rs
@@ -1,6 +1,6 @@
 //! A voter's disk recorded before the code was renamed: it is opened by its fleet and place, and holds what it held.
 use notchspool_consensus::acceptor::DurableState;
-use notchspool_fleet_controller::disk::{Found, Store};
+use notchspool_fleet_controller::acceptor_store::{AcceptorStore, StoredState};
 
 /// All of it, without the names that the code has for it.
 fn described(disk: &DurableState) -> String {
@@ -19,7 +19,9 @@
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).unwrap();
     std::fs::write(folder.join("voter"), include_bytes!("golden/voter")).unwrap();
-    let Ok(Found::Disk(store, disk)) = Store::find(&folder, "lipa", 1) else { panic!("it is there") };
+    let Ok(StoredState::Found(store, disk)) = AcceptorStore::find(&folder, "lipa", 1) else {
+        panic!("it is there")
+    };
     assert_eq!(described(&disk), include_str!("golden/expected.txt"));
     drop(store);
     std::fs::remove_dir_all(&folder).unwrap();
--- a/crates/fleet-protocol/tests/golden.rs
+++ b/crates/fleet-protocol/tests/golden.rs
@@ -9,7 +9,7 @@
     let lines: Vec<&str> = LINES.split_inclusive('\n').collect();
     assert_eq!(lines.len(), 37);
     for line in lines {
-        let message = Message::read(line.as_bytes(), "f").unwrap();
-        assert_eq!(message.written(), line);
+        let message = Message::decode(line.as_bytes(), "f").unwrap();
+        assert_eq!(message.encode(), line);
     }
 }
--- a/crates/lab/src/ground/judge.rs
+++ b/crates/lab/src/ground/judge.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use notchspool_commands::command_log::CommandState;
-use notchspool_fleet_protocol::Ordered;
+use notchspool_fleet_protocol::CommandStatus;
 
 /// Something was done to an agent, as it noted itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -40,7 +40,7 @@
     pub effects: Vec<Effect>,
     pub asked: Vec<Asked>,
     /// Every order with all its pairs, as the last owner tells it.
-    pub book: Vec<Ordered>,
+    pub book: Vec<CommandStatus>,
     pub polls: Vec<Poll>,
     /// Agents that were killed: their last note may be lost.
     pub killed: BTreeSet<String>,
@@ -96,7 +96,7 @@
 }
 
 fn orders(history: &History, wrong: &mut Vec<String>) {
-    let book: BTreeMap<u64, &Ordered> = history.book.iter().map(|o| (o.revision.0, o)).collect();
+    let book: BTreeMap<u64, &CommandStatus> = history.book.iter().map(|o| (o.revision.0, o)).collect();
     for asked in &history.asked {
         let told: BTreeSet<u64> = asked.told.iter().copied().collect();
         if told.len() > 1 {
@@ -171,15 +171,15 @@
     use notchspool_commands::{CommandKind, Epoch, Revision};
     use rstest::rstest;
 
-    fn order(revision: u64, state: CommandState) -> Ordered {
-        Ordered {
+    fn order(revision: u64, state: CommandState) -> CommandStatus {
+        CommandStatus {
             revision: Revision(revision),
             id: format!("o{revision}"),
             author: "t".into(),
-            act: CommandKind::Drain,
-            part: 1.0,
+            kind: CommandKind::Drain,
+            max_unavailable: 1.0,
             left_us: -1,
-            halted: None,
+            halt_reason: None,
             counts: BTreeMap::new(),
             states: vec![("a0".into(), state)],
         }
--- a/crates/lab/src/ground/measure.rs
+++ b/crates/lab/src/ground/measure.rs
@@ -3,8 +3,8 @@
 use std::time::{Duration, Instant};
 
 use notchspool_commands::CommandKind;
-use notchspool_fleet_protocol::client::Client;
-use notchspool_fleet_protocol::{Body, Order, Whom};
+use notchspool_fleet_protocol::client::FleetClient;
+use notchspool_fleet_protocol::{Body, CommandRequest, Selector};
 
 use super::field::{End, Field, Plan};
 use super::play::{owner, settled};
@@ -20,19 +20,19 @@
     LetGo,
 }
 
-fn order(id: &str, act: CommandKind, whom: Whom, within_ms: i64) -> Order {
-    Order {
+fn order(id: &str, act: CommandKind, whom: Selector, within_ms: i64) -> CommandRequest {
+    CommandRequest {
         id: id.into(),
         author: "measure".into(),
-        act,
-        whom,
+        kind: act,
+        targets: whom,
         within_us: within_ms * 1000,
-        part: Some(1.0),
-        on: None,
+        max_unavailable: Some(1.0),
+        expected_revision: None,
     }
 }
-fn all_of() -> Whom {
-    Whom { all: true, ..Whom::default() }
+fn all_of() -> Selector {
+    Selector { all: true, ..Selector::default() }
 }
 
 /// Time without an owner, `rounds` times: from the moment it is lost to the moment at which another is asked and owns.
@@ -51,9 +51,12 @@
             Loss::Cut => field.ways(End::Keeper(place), |r| r.cut = true),
             Loss::LetGo => {
                 let at = field.keeper_at(place);
-                let said =
-                    Client::new("lab", &[at], "measure").ask_at(at, &Body::LetGo, Duration::from_secs(1));
-                if said != Ok(Body::Done) {
+                let said = FleetClient::new("lab", &[at], "measure").ask_one(
+                    at,
+                    &Body::ReleaseOwnership,
+                    Duration::from_secs(1),
+                );
+                if !matches!(said, Ok(Body::OwnershipReleased)) {
                     continue;
                 }
             }
@@ -89,7 +92,7 @@
     let mut took: Vec<Duration> = std::thread::scope(|scope| {
         let clients: Vec<_> = (0..clients)
             .map(|who| {
-                let mut client = Client::new("lab", &keepers, &format!("m{who}"));
+                let mut client = FleetClient::new("lab", &keepers, &format!("m{who}"));
                 let agents = plan.agents;
                 scope.spawn(move || {
                     let mut took = Vec::new();
@@ -98,12 +101,14 @@
                             break;
                         }
                         let act = if nth % 2 == 0 { CommandKind::Drain } else { CommandKind::Undrain };
-                        let whom =
-                            Whom { names: vec![format!("a{}", (who + nth) % agents)], ..Whom::default() };
+                        let whom = Selector {
+                            names: vec![format!("a{}", (who + nth) % agents)],
+                            ..Selector::default()
+                        };
                         let order = order(&format!("m{who}-{nth}"), act, whom, 2_000);
                         let asked = Instant::now();
-                        if let Ok(Body::Taken { .. }) =
-                            client.ask(&Body::Order(order), Duration::from_secs(2))
+                        if let Ok(Body::CommandAccepted { .. }) =
+                            client.ask(&Body::SubmitCommand(order), Duration::from_secs(2))
                         {
                             took.push(asked.elapsed());
                         }
@@ -146,45 +151,49 @@
 
 /// The control side alone for many instances, without sockets: microseconds for a renewal, for an order to all of them (taken, told,
 /// written down), and for all of them saying that it is done; and bytes written for the order.
-pub fn office(instances: usize) -> (f64, f64, f64, usize) {
+pub fn controller(instances: usize) -> (f64, f64, f64, usize) {
     use notchspool::units::Micros;
-    use notchspool_command_controller::{Office, Terms};
+    use notchspool_command_controller::instances::RegistrationRequest;
+    use notchspool_command_controller::{Controller, Policy};
     use notchspool_commands::Outcome;
-    use notchspool_fleet_protocol::Report;
+    use notchspool_fleet_protocol::InstanceReport;
     use notchspool_leases::lease_table;
 
-    let terms = lease_table::LeasePolicy { rate: 1e9, burst: 1e9, ..lease_table::LeasePolicy::default() };
-    let terms = Terms { leases: terms, part: 1.0, keep: 200, again: Micros::ms(500) };
-    let mut office = Office::open(terms, notchspool_consensus::Token(1), &Default::default(), 1, Micros(0));
+    let leases = lease_table::LeasePolicy { rate: 1e9, burst: 1e9, ..lease_table::LeasePolicy::default() };
+    let policy =
+        Policy { leases, max_unavailable: 1.0, retained_commands: 200, resend_after: Micros::ms(500) };
+    let mut controller =
+        Controller::open(policy, notchspool_consensus::Token(1), &Default::default(), 1, Micros(0));
     let mut all = Vec::new();
     for n in 0..instances {
         let zone = format!("z{}", n % 10);
-        if let Ok(r) = office.register(Micros(n as i64), &format!("a{n}"), &zone, n as u64, Report::default())
-        {
+        let (name, boot_id, report) = (format!("a{n}"), n as u64, InstanceReport::default());
+        let request = RegistrationRequest { name: &name, zone: &zone, boot_id, report };
+        if let Ok(r) = controller.register(Micros(n as i64), request) {
             all.push((r.id, r.epoch));
         }
     }
-    office.flush(Micros(instances as i64));
+    controller.flush(Micros(instances as i64));
     let us = |began: Instant, n: usize| began.elapsed().as_secs_f64() * 1e6 / n as f64;
     let now = Micros::ms(1_000);
     let began = Instant::now();
     for (id, epoch) in &all {
-        office.renew(now, *id, *epoch, Report::default());
+        controller.renew(now, *id, *epoch, InstanceReport::default());
     }
     let renewal = us(began, instances);
     let began = Instant::now();
-    let taken = office.take(now, &order("x", CommandKind::Drain, all_of(), 10_000));
-    office.pass(now);
-    let (changes, _) = office.flush(now);
+    let accepted = controller.submit(now, &order("x", CommandKind::Drain, all_of(), 10_000));
+    controller.tick(now);
+    let writes = controller.flush(now).writes;
     let ordered = us(began, 1);
-    let bytes = changes.values().map(String::len).sum();
+    let bytes = writes.values().map(String::len).sum();
     let began = Instant::now();
-    if let Ok((revision, _)) = taken {
+    if let Ok(accepted) = accepted {
         for (id, epoch) in &all {
-            office.said(*id, *epoch, revision, &Outcome::Done);
+            controller.on_outcome(*id, *epoch, accepted.revision, &Outcome::Done);
         }
     }
-    office.flush(now);
+    controller.flush(now);
     (renewal, ordered, us(began, 1), bytes)
 }
 
@@ -215,8 +224,8 @@
     let began = Instant::now();
     let id = order("drain-all", CommandKind::Drain, all_of(), within.as_millis() as i64);
     let asked = {
-        let (mut client, id) = (Client::new("lab", &keepers, "measure"), id.clone());
-        std::thread::spawn(move || client.ask(&Body::Order(id), PATIENCE))
+        let (mut client, id) = (FleetClient::new("lab", &keepers, "measure"), id.clone());
+        std::thread::spawn(move || client.ask(&Body::SubmitCommand(id), PATIENCE))
     };
     std::thread::sleep(kill_after);
     field.keepers[place].kill();
@@ -227,13 +236,15 @@
         last_away = left.is_empty().then(|| began.elapsed());
     }
     let taken = asked.join().map_err(|_| "the client is gone")?;
-    let Ok(Body::Taken { revision, .. }) = taken else { return Err(format!("not taken: {taken:?}")) };
-    let mut client = Client::new("lab", &keepers, "measure");
+    let Ok(Body::CommandAccepted { revision, .. }) = taken else {
+        return Err(format!("not taken: {taken:?}"));
+    };
+    let mut client = FleetClient::new("lab", &keepers, "measure");
     let mut last = None;
     wait("every pair ends", PATIENCE, || {
-        match client.ask(&Body::Look { revision }, Duration::from_secs(1)) {
-            Ok(Body::OrdersAre { orders }) => {
-                last = orders.into_iter().next();
+        match client.ask(&Body::GetCommand { revision }, Duration::from_secs(1)) {
+            Ok(Body::Commands { commands }) => {
+                last = commands.into_iter().next();
                 last.as_ref().is_some_and(|o| o.states.iter().all(|s| s.1.is_final()))
             }
             _ => false,
@@ -244,7 +255,7 @@
     // Their fronts are asked, not their words taken; those that stand still can't say.
     let (mut untrue, mut states) = (0, std::collections::BTreeMap::<String, usize>::new());
     for (name, state) in &ordered.states {
-        *states.entry(notchspool_command_controller::office::word(state).to_owned()).or_default() += 1;
+        *states.entry(notchspool_command_controller::state_name(state).to_owned()).or_default() += 1;
         let n: usize = name.trim_start_matches('a').parse().map_err(|_| "a name")?;
         if !stopped.contains(&n) {
             let away = field.takes_clients(n) == Some(false);
--- a/crates/lab/src/ground/play.rs
+++ b/crates/lab/src/ground/play.rs
@@ -5,8 +5,8 @@
 use std::time::{Duration, Instant};
 
 use notchspool_commands::{CommandKind, Revision};
-use notchspool_fleet_protocol::client::Client;
-use notchspool_fleet_protocol::{Body, Order, Whom};
+use notchspool_fleet_protocol::client::FleetClient;
+use notchspool_fleet_protocol::{Body, CommandRequest, LeaseStatus, Selector};
 use oorandom::Rand64;
 
 use super::field::{End, Field};
@@ -27,17 +27,21 @@
     pub acknowledged_in: Vec<Duration>,
 }
 
-fn client(field: &Field, name: &str) -> Client {
-    Client::new("lab", &field.seen_all(End::Client), name)
+fn client(field: &Field, name: &str) -> FleetClient {
+    FleetClient::new("lab", &field.seen_all(End::Client), name)
 }
 
 /// The place of whoever owns now.
 pub fn owner(field: &Field) -> Option<(usize, u64)> {
     (0..field.keepers.len()).find_map(|k| {
         let at = field.keeper_at(k);
-        let asked = Client::new("lab", &[at], "ground").ask_at(at, &Body::Owner, Duration::from_millis(200));
+        let asked = FleetClient::new("lab", &[at], "ground").ask_one(
+            at,
+            &Body::GetStatus,
+            Duration::from_millis(200),
+        );
         match asked {
-            Ok(Body::OwnerIs(is)) if is.owns => Some((k, is.owner.map_or(0, |o| o.2.0))),
+            Ok(Body::Status(is)) if is.is_owner => Some((k, is.owner.map_or(0, |o| o.token.0))),
             _ => None,
         }
     })
@@ -47,9 +51,12 @@
 pub fn settled(field: &Field, instances: usize) -> Result<(), String> {
     let mut seen = 0;
     let all = wait("all instances register", PATIENCE, || {
-        let body = client(field, "ground").ask(&Body::Instances, Duration::from_secs(1));
-        if let Ok(Body::InstancesAre { instances, .. }) = body {
-            seen = instances.iter().filter(|i| i.standing == "live" && i.heard_us.is_some()).count();
+        let body = client(field, "ground").ask(&Body::ListInstances, Duration::from_secs(1));
+        if let Ok(Body::Instances { instances, .. }) = body {
+            seen = instances
+                .iter()
+                .filter(|i| i.lease == LeaseStatus::Live && i.last_contact_us.is_some())
+                .count();
         }
         seen >= instances
     });
@@ -187,7 +194,7 @@
 
 /// Orders of one client, one after the other, until it is told to end.
 fn orders(
-    mut client: Client,
+    mut client: FleetClient,
     who: usize,
     agents: usize,
     zones: usize,
@@ -204,32 +211,32 @@
         let act =
             [CommandKind::Drain, CommandKind::Undrain, CommandKind::Undrain, CommandKind::Reload][below(4)];
         let whom = match below(3) {
-            0 => Whom { names: vec![format!("a{}", below(agents))], ..Whom::default() },
-            1 => Whom { zones: vec![format!("z{}", below(zones))], ..Whom::default() },
-            _ => Whom { all: true, ..Whom::default() },
+            0 => Selector { names: vec![format!("a{}", below(agents))], ..Selector::default() },
+            1 => Selector { zones: vec![format!("z{}", below(zones))], ..Selector::default() },
+            _ => Selector { all: true, ..Selector::default() },
         };
         let part = [None, Some(0.25)][below(2)];
         let id = format!("c{who}-{nth}");
-        let order = Order {
+        let order = CommandRequest {
             id: id.clone(),
             author: format!("c{who}"),
-            act,
-            whom,
+            kind: act,
+            targets: whom,
             within_us: 4_000_000,
-            part,
-            on: None,
+            max_unavailable: part,
+            expected_revision: None,
         };
         let began = Instant::now();
         let mut told = Vec::new();
-        if let Ok(Body::Taken { revision, .. }) =
-            client.ask(&Body::Order(order.clone()), Duration::from_secs(5))
+        if let Ok(Body::CommandAccepted { revision, .. }) =
+            client.ask(&Body::SubmitCommand(order.clone()), Duration::from_secs(5))
         {
             told.push(revision.0);
             spans.push(began.elapsed());
             // Now and then asked again, as one who lost the answer.
             if below(3) == 0
-                && let Ok(Body::Taken { revision, .. }) =
-                    client.ask(&Body::Order(order), Duration::from_secs(2))
+                && let Ok(Body::CommandAccepted { revision, .. }) =
+                    client.ask(&Body::SubmitCommand(order), Duration::from_secs(2))
             {
                 told.push(revision.0);
             }
@@ -247,9 +254,10 @@
         let at = keepers[nth % keepers.len()];
         nth += 1;
         let asked_us = began.elapsed().as_micros() as u64;
-        let said = Client::new("lab", &[at], "poll").ask_at(at, &Body::Owner, Duration::from_millis(60));
-        if let Ok(Body::OwnerIs(is)) = said {
-            let owns = is.owner.filter(|_| is.owns).map(|o| o.2.0);
+        let said =
+            FleetClient::new("lab", &[at], "poll").ask_one(at, &Body::GetStatus, Duration::from_millis(60));
+        if let Ok(Body::Status(is)) = said {
+            let owns = is.owner.filter(|_| is.is_owner).map(|o| o.token.0);
             polls.push(Poll { asked_us, answered_us: began.elapsed().as_micros() as u64, owns });
         }
         std::thread::sleep(Duration::from_millis(4));
@@ -265,7 +273,7 @@
     let (agents, zones) = (field.agents.len(), field.plan.zones.max(1));
     let killed = Mutex::new(BTreeSet::new());
     let polled: Vec<_> = (0..field.keepers.len()).map(|k| field.keeper_at(k)).collect();
-    let two: Vec<Client> = (0..2).map(|n| client(field, &format!("c{n}"))).collect();
+    let two: Vec<FleetClient> = (0..2).map(|n| client(field, &format!("c{n}"))).collect();
     let (asked, spans, polls, happened) = std::thread::scope(|scope| {
         let poller = {
             let (over, polled) = (over.clone(), polled);
@@ -316,24 +324,25 @@
 }
 
 /// Every order with its pairs, once none is open any more.
-pub fn book(field: &Field) -> Result<Vec<notchspool_fleet_protocol::Ordered>, String> {
+pub fn book(field: &Field) -> Result<Vec<notchspool_fleet_protocol::CommandStatus>, String> {
     let mut client = client(field, "judge");
     let mut book = Vec::new();
     let ended = wait("every pair comes to its end", PATIENCE, || {
-        let Ok(Body::OrdersAre { orders }) = client.ask(&Body::Orders { last: 1000 }, Duration::from_secs(2))
+        let Ok(Body::Commands { commands }) =
+            client.ask(&Body::ListCommands { last: 1000 }, Duration::from_secs(2))
         else {
             return false;
         };
         let open = ["queued", "told", "unknown"];
-        if orders.iter().any(|o| open.iter().any(|w| o.counts.contains_key(*w))) {
+        if commands.iter().any(|o| open.iter().any(|w| o.counts.contains_key(*w))) {
             std::thread::sleep(Duration::from_millis(100));
             return false;
         }
         book.clear();
-        for order in orders {
+        for order in commands {
             let revision: Revision = order.revision;
-            match client.ask(&Body::Look { revision }, Duration::from_secs(2)) {
-                Ok(Body::OrdersAre { orders }) => book.extend(orders),
+            match client.ask(&Body::GetCommand { revision }, Duration::from_secs(2)) {
+                Ok(Body::Commands { commands }) => book.extend(commands),
                 _ => return false,
             }
         }
@@ -341,14 +350,14 @@
     });
     // What is open then is for the judge to say.
     if ended.is_err()
-        && let Ok(Body::OrdersAre { orders }) =
-            client.ask(&Body::Orders { last: 1000 }, Duration::from_secs(2))
+        && let Ok(Body::Commands { commands }) =
+            client.ask(&Body::ListCommands { last: 1000 }, Duration::from_secs(2))
     {
-        for order in orders {
-            if let Ok(Body::OrdersAre { orders }) =
-                client.ask(&Body::Look { revision: order.revision }, Duration::from_secs(2))
+        for order in commands {
+            if let Ok(Body::Commands { commands }) =
+                client.ask(&Body::GetCommand { revision: order.revision }, Duration::from_secs(2))
             {
-                book.extend(orders);
+                book.extend(commands);
             }
         }
     }
