--- a/crates/agent/src/base/clock.rs
+++ b/crates/agent/src/base/clock.rs
@@ -1,33 +1,43 @@
-//! One clock for everything: Unix time read once at start, monotonic from there on.
+//! One clock for everything: Unix time read once at the start, monotonic from there on.
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use notchspool::units::Micros;
 
-#[derive(Clone, Copy)]
+/// The clock of this process.
+#[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    began: Instant,
-    unix: Micros,
+    started: Instant,
+    started_unix: Micros,
 }
 
 impl Clock {
+    /// A clock that reads Unix time now, and never again.
     pub fn start() -> Clock {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { began: Instant::now(), unix: Micros(unix.as_micros() as i64) }
+        Clock { started: Instant::now(), started_unix: unix_time() }
     }
+
+    /// Unix time in microseconds, by the monotonic clock.
     pub fn now(&self) -> Micros {
-        self.unix + Micros(self.began.elapsed().as_micros() as i64)
+        self.started_unix + Micros(self.started.elapsed().as_micros() as i64)
     }
-    /// How far the machine's clock has been set ahead of this one since the start; below nothing: back.
-    pub fn set_ahead(&self) -> Micros {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Micros(unix.as_micros() as i64) - self.now()
+
+    /// How far the machine's clock has been set ahead of this one since the start; negative: back.
+    pub fn machine_clock_ahead(&self) -> Micros {
+        unix_time() - self.now()
     }
-    /// How long it is still till `at`.
+
+    /// How long it is until `at`; nothing where that has passed.
     pub fn until(&self, at: Micros) -> Duration {
-        span(at - self.now())
+        to_duration(at - self.now())
     }
 }
 
-pub fn span(micros: Micros) -> Duration {
-    Duration::from_micros(micros.0.max(0) as u64)
+fn unix_time() -> Micros {
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    Micros(since_epoch.as_micros() as i64)
+}
+
+/// A span as a duration; a negative one is nothing.
+pub fn to_duration(span: Micros) -> Duration {
+    Duration::from_micros(span.0.max(0) as u64)
 }
--- a/crates/agent/src/base/mod.rs
+++ b/crates/agent/src/base/mod.rs
@@ -1,5 +1,5 @@
-//! What all else stands on: the bounds, the clock, the logger, and the pulse that notices pauses.
-pub mod bounds;
+//! What all else stands on: limits, the clock, the logger, and the detector of stalls.
 pub mod clock;
+pub mod limits;
 pub mod logger;
-pub mod pulse;
+pub mod stall_detector;
--- a/crates/agent/src/fleet/mod.rs
+++ b/crates/agent/src/fleet/mod.rs
@@ -14,7 +14,7 @@
 use notchspool_commands::{CommandKind, Revision};
 use notchspool_consensus::Token;
 use notchspool_fleet_protocol::InstanceReport;
-use notchspool_settings::file::Fleet;
+use notchspool_settings::agent_file::Fleet;
 use tokio::sync::{mpsc, oneshot};
 
 use token_store::{TokenStore, TokenStoreError};
@@ -87,7 +87,7 @@
     fleet: Fleet,
     name: &str,
 ) -> Result<(Arc<PublishedCounters>, mpsc::Receiver<PendingExecution>), JoinError> {
-    let tokens = TokenStore::open(&fleet.state, name)?;
+    let tokens = TokenStore::open(&fleet.state_folder, name)?;
     let counters = Arc::new(PublishedCounters::default());
     let (executions, pending) = mpsc::channel(1);
     let session = session::FleetSession::new(fleet, name.to_owned(), tokens, counters.clone(), executions);
--- a/crates/agent/src/fleet/session.rs
+++ b/crates/agent/src/fleet/session.rs
@@ -8,7 +8,7 @@
 use notchspool_consensus::{Request, Space, Token};
 use notchspool_fleet_protocol::owner_search::OwnerSearch;
 use notchspool_fleet_protocol::{Body, Message};
-use notchspool_settings::file::Fleet;
+use notchspool_settings::agent_file::Fleet;
 use oorandom::Rand64;
 use rustix::process::{Signal, getpid, kill_process};
 use tokio::io::AsyncWriteExt;
@@ -118,7 +118,7 @@
         if without_fence {
             log::warn!("fleet: the fence is taken out: a test");
         }
-        let controllers = fleet.keepers.len();
+        let controllers = fleet.controllers.len();
         let first = rng.rand_range(0..controllers as u64) as usize;
         FleetSession {
             boot_id: rng.rand_u64(),
@@ -142,7 +142,7 @@
         let mut backoff = MIN_BACKOFF;
         loop {
             let began = Instant::now();
-            let controller = self.fleet.keepers[self.search.current()];
+            let controller = self.fleet.controllers[self.search.current()];
             let end = match timeout(CONNECT_TIMEOUT, TcpStream::connect(controller)).await {
                 Ok(Ok(stream)) => self.session(stream).await,
                 _ => SessionEnd::Disconnected,
@@ -376,7 +376,7 @@
     /// is the least that was seen, since an owner was accepted by a majority before it acted. False where no majority answered.
     async fn learn_token(&mut self) -> bool {
         let (mut answers, mut highest) = (0, Token(0));
-        for controller in self.fleet.keepers.clone() {
+        for controller in self.fleet.controllers.clone() {
             let request = Request::Read { space: Space::Owner(JOB.into()) };
             let line = self.encode(Body::VoterRequest(request));
             let token = last_owner_token(controller, &self.fleet.name, &line, CONNECT_TIMEOUT).await;
@@ -385,7 +385,7 @@
                 highest = highest.max(token);
             }
         }
-        if answers <= self.fleet.keepers.len() / 2 {
+        if answers <= self.fleet.controllers.len() / 2 {
             return false;
         }
         match self.tokens.learn(JOB, highest) {
--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -2,5 +2,5 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    notchspool_agent::platform()
+    notchspool_agent::run_platform_agent()
 }
--- a/crates/agent/src/life/fleet_commands.rs
+++ b/crates/agent/src/process/fleet_commands.rs
@@ -8,10 +8,10 @@
 use notchspool_commands::CommandKind;
 use tokio::sync::mpsc;
 
-use super::stop;
+use super::signals::read_apart;
 use crate::fleet::{PendingExecution, PublishedCounters};
-use crate::wire::application::Porch;
-use crate::wire::gate::{Gate, Leave};
+use crate::wire::acceptor::{Acceptor, EndGracefully};
+use crate::wire::front_state::FrontState;
 
 /// How often counters are published.
 const PUBLISH_INTERVAL: Duration = Duration::from_millis(100);
@@ -20,12 +20,12 @@
 pub fn listen<T: Send + 'static>(
     mut executions: mpsc::Receiver<PendingExecution>,
     counters: Arc<PublishedCounters>,
-    porch: Rc<Porch>,
-    gates: Vec<Addr<Gate>>,
+    state: Rc<FrontState>,
+    acceptors: Vec<Addr<Acceptor>>,
     read: impl Fn() -> Result<T, String> + Clone + Send + 'static,
-    take: impl Fn(Result<T, String>) -> Result<(), String> + 'static,
+    apply: impl Fn(Result<T, String>) -> Result<(), String> + 'static,
 ) {
-    let published = porch.clone();
+    let published = state.clone();
     actix_rt::spawn(async move {
         loop {
             publish(&counters, &published);
@@ -36,22 +36,21 @@
         while let Some(PendingExecution { kind, revision, token, done }) = executions.recv().await {
             let result = match kind {
                 CommandKind::Drain => {
-                    if porch.away.get().is_none() {
-                        porch.away.set(Some(porch.clock.now()));
-                    }
+                    state.begin_draining();
                     Ok(())
                 }
                 CommandKind::Undrain => {
-                    porch.away.set(None);
+                    state.draining_since.set(None);
                     Ok(())
                 }
-                CommandKind::Reload => take(stop::reading(&read).await),
+                CommandKind::Reload => apply(read_apart(&read).await),
                 CommandKind::Stop => {
-                    gates.iter().for_each(|gate| gate.do_send(Leave));
+                    acceptors.iter().for_each(|acceptor| acceptor.do_send(EndGracefully));
                     Ok(())
                 }
             };
-            let word = result.as_ref().map_or_else(|why| format!("refused: {why}"), |()| "done".to_owned());
+            let word =
+                result.as_ref().map_or_else(|reason| format!("refused: {reason}"), |()| "done".to_owned());
             log::info!("fleet: {kind:?} revision {} under token {}: {word}", revision.0, token.0);
             // The session may have ended meanwhile: the command comes again.
             let _ = done.send(result);
@@ -59,13 +58,13 @@
     });
 }
 
-fn publish(published: &PublishedCounters, porch: &Porch) {
-    let counters = &porch.counters;
+fn publish(published: &PublishedCounters, state: &FrontState) {
+    let counters = &state.counters;
     let (succeeded, taken) = (counters.count("posting_settled"), counters.count("taken"));
-    let in_flight = counters.in_hand.get() as u64;
+    let in_flight = counters.in_flight.get() as u64;
     published.succeeded.store(succeeded, Ordering::Relaxed);
     published.not_succeeded.store(taken.saturating_sub(succeeded + in_flight), Ordering::Relaxed);
     published.in_flight.store(in_flight, Ordering::Relaxed);
-    published.list_version.store(counters.list.get(), Ordering::Relaxed);
-    published.draining.store(porch.away.get().is_some(), Ordering::Relaxed);
+    published.list_version.store(counters.list_version.get(), Ordering::Relaxed);
+    published.draining.store(state.draining_since.get().is_some(), Ordering::Relaxed);
 }
--- a/crates/agent/src/wire/mod.rs
+++ b/crates/agent/src/wire/mod.rs
@@ -1,14 +1,28 @@
-//! What is spoken: with the application, with backends, with discovery.
-pub mod application;
-pub mod backend;
-pub mod caller;
-mod chunks;
-pub mod door;
-pub mod fcgi;
-pub mod gate;
-pub mod link;
-pub mod listing;
+//! What is spoken: with clients, with backends, with discovery, with operators.
+//!
+//! Client side: [`acceptor`] accepts, [`client_stream`] is one connection and [`client_connections`] all of them; [`platform_front`] and
+//! [`routed_front`] take requests. Backend side: [`http_backend`] is the actor of one backend, [`attempt`] one sending to it,
+//! [`backend_connection`] one connection. [`fastcgi`] speaks `FastCGI` on both sides.
+pub mod acceptor;
+pub mod answer;
+pub mod answer_head;
+pub mod attempt;
+mod attempt_body;
+pub mod attempt_progress;
+pub mod backend_connection;
+pub mod chunked_tracker;
+pub mod client_connections;
+pub mod client_stream;
+pub mod connection_history;
+pub mod fastcgi;
+pub mod front_state;
+pub mod http_backend;
+pub mod http_client;
+pub mod list_format;
 pub mod management;
-pub mod order;
-pub mod posting;
-pub mod registry;
+pub mod management_command;
+pub mod platform_front;
+pub mod registry_client;
+pub mod request_body;
+pub mod response;
+pub mod routed_front;
--- a/crates/cli/src/fleet/client.rs
+++ b/crates/cli/src/fleet/client.rs
@@ -222,9 +222,9 @@
         Err(mistakes) => mistakes,
     };
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    match notchspool_settings::file::read(&path.display().to_string(), &text) {
+    match notchspool_settings::agent_file::read(&path.display().to_string(), &text) {
         Ok(agent) => match agent.fleet {
-            Some(fleet) => Ok(FleetClient::new(&fleet.name, &fleet.keepers, CLIENT_NAME)),
+            Some(fleet) => Ok(FleetClient::new(&fleet.name, &fleet.controllers, CLIENT_NAME)),
             None => Err(format!("{}: it has no [fleet]", path.display())),
         },
         // An agent's file has listeners; else it was to be a controller's.
--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab.rs
@@ -211,7 +211,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn told(mistakes: Vec<notchspool_settings::place::Mistake>) -> String {
+fn told(mistakes: Vec<notchspool_settings::mistake::Mistake>) -> String {
     mistakes.iter().map(ToString::to_string).collect::<Vec<_>>().join("\nnotchspool: ")
 }
 
--- a/crates/cli/src/service.rs
+++ b/crates/cli/src/service.rs
@@ -4,9 +4,10 @@
 
 use clap::Args;
 use notchspool_agent::Micros;
-use notchspool_agent::life::open;
-use notchspool_routes::table::{Asked, Miss, Table};
-use notchspool_settings::file::{House, Route, Sticky};
+use notchspool_agent::process::routed_agent;
+use notchspool_routes::route_rule::{Mismatch, RequestHead};
+use notchspool_routes::route_table::{ConsideredRoute, RouteTable};
+use notchspool_settings::agent_file::{Affinity, AgentConfig, Route, RoutePool};
 
 use crate::{EXIT_INCOMPLETE, EXIT_REFUSED};
 
@@ -30,20 +31,20 @@
 
 /// Runs an agent until its end.
 pub fn run(file: PathBuf) -> ExitCode {
-    open::open(file)
+    routed_agent::run(file)
 }
 
 /// Checks an operator's file.
 pub fn check(file: &Path) -> ExitCode {
-    match open::told(file) {
-        Ok(house) => {
+    match routed_agent::load(file) {
+        Ok(config) => {
             println!(
                 "{}: sound: {} listeners, {} pools, {} schemes, {} routes",
                 file.display(),
-                house.doors.len(),
-                house.pools.len(),
-                house.schemes.len(),
-                house.routes.len()
+                config.listeners.len(),
+                config.pools.len(),
+                config.classes.len(),
+                config.routes.len()
             );
             ExitCode::SUCCESS
         }
@@ -60,35 +61,35 @@
 ///
 /// A listener or header in the arguments that makes no sense.
 pub fn explain(args: &ExplainArgs) -> Result<ExitCode, String> {
-    let house = match open::told(&args.file) {
-        Ok(house) => house,
+    let config = match routed_agent::load(&args.file) {
+        Ok(config) => config,
         Err(mistakes) => {
             eprintln!("{mistakes}");
             return Ok(ExitCode::from(EXIT_REFUSED));
         }
     };
-    let listen = listener(&house, args)?;
+    let listener = listener(&config, args)?;
     let headers: Vec<(&str, &str)> =
         args.header.iter().map(|text| parse_header(text)).collect::<Result<_, _>>()?;
     let request =
-        Asked { listen, host: &args.host, path: &args.path, method: &args.method, headers: &headers };
-    let table = Table::new(house.routes.iter().map(|route| route.rule.clone()).collect());
-    for (nth, miss) in table.explain(&request) {
-        let route = &house.routes[nth];
-        let Some(miss) = miss else {
-            println!("{}", describe_route(&house, route));
+        RequestHead { listener, host: &args.host, path: &args.path, method: &args.method, headers: &headers };
+    let table = RouteTable::new(config.routes.iter().map(|route| route.rule.clone()).collect());
+    for ConsideredRoute { route, mismatch } in table.explain(&request) {
+        let route = &config.routes[route];
+        let Some(mismatch) = mismatch else {
+            println!("{}", describe_route(&config, route));
             return Ok(ExitCode::SUCCESS);
         };
-        println!("not `{}`: {}", route.name, describe_miss(&miss));
+        println!("not `{}`: {}", route.name, describe_mismatch(&mismatch));
     }
     println!("no route takes it: 404 NO_ROUTE");
     Ok(ExitCode::from(EXIT_INCOMPLETE))
 }
 
 /// Index of the listener that the request comes to.
-fn listener(house: &House, args: &ExplainArgs) -> Result<usize, String> {
+fn listener(config: &AgentConfig, args: &ExplainArgs) -> Result<usize, String> {
     let Some(name) = &args.listen else { return Ok(0) };
-    let index = house.doors.iter().position(|listener| listener.name == *name);
+    let index = config.listeners.iter().position(|listener| listener.name == *name);
     index.ok_or_else(|| format!("no listener `{name}` in {}", args.file.display()))
 }
 
@@ -97,39 +98,39 @@
     Ok((name.trim(), value.trim()))
 }
 
-fn describe_miss(miss: &Miss) -> String {
-    match miss {
-        Miss::Listener => "another listener".into(),
-        Miss::Host => "another host".into(),
-        Miss::Path => "another path".into(),
-        Miss::Method => "another method".into(),
-        Miss::Header(name) => format!("header `{name}` is not as it wants"),
+fn describe_mismatch(mismatch: &Mismatch) -> String {
+    match mismatch {
+        Mismatch::Listener => "another listener".into(),
+        Mismatch::Host => "another host".into(),
+        Mismatch::Path => "another path".into(),
+        Mismatch::Method => "another method".into(),
+        Mismatch::Header(name) => format!("header `{name}` is not as it wants"),
     }
 }
 
-fn describe_route(house: &House, route: &Route) -> String {
-    let scheme = &house.schemes[route.scheme];
+fn describe_route(config: &AgentConfig, route: &Route) -> String {
+    let class = &config.classes[route.class];
     let ms = |time: Micros| time.0 as f64 / 1000.0;
-    let pool = |(index, share): &(usize, f64)| {
-        let pool = &house.pools[*index];
-        let backup = pool.backup.map(|b| format!(", backup `{}`", house.pools[b].name)).unwrap_or_default();
-        format!("  pool `{}`, share {share}{backup}", pool.name)
+    let pool = |of: &RoutePool| {
+        let pool = &config.pools[of.pool];
+        let backup = pool.backup.map(|b| format!(", backup `{}`", config.pools[b].name)).unwrap_or_default();
+        format!("  pool `{}`, share {}{backup}", pool.name, of.weight)
     };
     let pools: Vec<String> = route.pools.iter().map(pool).collect();
-    let sticky = match &route.sticky {
-        Sticky::Nothing => String::new(),
-        Sticky::Header(name) => format!("\n  kept together by header `{name}`"),
-        Sticky::Path => "\n  kept together by path".into(),
-        Sticky::Client => "\n  kept together by the client's address".into(),
+    let affinity = match &route.affinity {
+        Affinity::None => String::new(),
+        Affinity::Header(name) => format!("\n  kept together by header `{name}`"),
+        Affinity::Path => "\n  kept together by path".into(),
+        Affinity::Client => "\n  kept together by the client's address".into(),
     };
     format!(
-        "route `{}`\n  scheme `{}`, {:?}: SLA time {} ms, expiry {} ms at most\n{}{sticky}\n  at most {} postings a txn over all pools",
+        "route `{}`\n  scheme `{}`, {:?}: SLA time {} ms, expiry {} ms at most\n{}{affinity}\n  at most {} postings a txn over all pools",
         route.name,
-        scheme.name,
-        scheme.scheme.kind,
-        ms(scheme.scheme.latency_target),
-        ms(route.expiry),
+        class.name,
+        class.class.kind,
+        ms(class.class.latency_target),
+        ms(route.max_deadline),
         pools.join("\n"),
-        route.multiple
+        route.attempt_multiple
     )
 }
--- a/crates/cli/tests/abuse.rs
+++ b/crates/cli/tests/abuse.rs
@@ -9,8 +9,8 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-use notchspool_fastcgi::record::Id;
-use notchspool_fastcgi::{ask, cgi};
+use notchspool_fastcgi::protocol::RequestId;
+use notchspool_fastcgi::{cgi, client};
 use rstest::rstest;
 use standins::*;
 
@@ -110,8 +110,8 @@
             return request(method, path, &id, body).into_bytes();
         }
         let headers = [("x-tenant", &b"bad"[..]), ("x-id", id.as_bytes()), ("x-expires-in-ms", b"1500")];
-        let params = cgi::params(method, path, headers.into_iter(), body);
-        ask::request(Id(nth.max(1)), true, &params, &vec![b'b'; body]).bytes.to_vec()
+        let params = cgi::request_params(method, path, headers.into_iter(), body);
+        client::encode_request(RequestId(nth.max(1)), true, &params, &vec![b'b'; body]).bytes.to_vec()
     }
     fn open(&self) -> Option<TcpStream> {
         let io =
@@ -341,7 +341,7 @@
             format!("{how:?}"),
             most()
         );
-        // Bounds that a busy machine keeps too; the page has what was measured on a quiet one.
+        // ServerLimits that a busy machine keeps too; the page has what was measured on a quiet one.
         assert!(answered > 0.5, "{front:?}, {how:?}: {answered:.3} of the others' requests got an answer");
         if front == Front::Tenants {
             assert!(fine > 0.5 * calm[0], "{how:?}: {fine:.3} within the SLA time, {:.3} without", calm[0]);
--- a/crates/cli/tests/fastcgi.rs
+++ b/crates/cli/tests/fastcgi.rs
@@ -8,9 +8,10 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use notchspool_fastcgi::ask::{self, Answer, Asker, Event};
 use notchspool_fastcgi::cgi;
+use notchspool_fastcgi::client::{self, Answer, ClientLimits, ClientSide, Event};
 use notchspool_fastcgi::pairs;
+use notchspool_fastcgi::protocol::*;
 use notchspool_fastcgi::record::*;
 use rstest::rstest;
 use standins::*;
@@ -51,20 +52,20 @@
 
 #[derive(Default)]
 struct Half {
-    id: Id,
+    id: RequestId,
     params: BytesMut,
     body: usize,
 }
 
-fn out(id: Id, text: &str) -> BytesMut {
+fn out(id: RequestId, text: &str) -> BytesMut {
     let mut said = BytesMut::new();
-    put_stream(&mut said, Kind::Stdout, id, text.as_bytes());
+    put_stream(&mut said, RecordType::Stdout, id, text.as_bytes());
     said
 }
-fn whole(id: Id, text: &str, app_status: u32) -> BytesMut {
+fn whole(id: RequestId, text: &str, app_status: u32) -> BytesMut {
     let mut said = out(id, text);
-    end_stream(&mut said, Kind::Stdout, id);
-    put_end(&mut said, id, app_status, Ended::Complete);
+    end_stream(&mut said, RecordType::Stdout, id);
+    put_end(&mut said, id, app_status, ProtocolStatus::Complete);
     said
 }
 const FINE: &str = "Status: 200 OK\r\nX-Own: yes\r\n\r\nok\n";
@@ -101,7 +102,8 @@
     }
     /// Plays till the connection is over; None then.
     fn serve(&self, mut io: TcpStream) -> Option<()> {
-        let (mut came, mut halves, mut waiting) = (BytesMut::new(), Vec::<Half>::new(), Vec::<Id>::new());
+        let (mut came, mut halves, mut waiting) =
+            (BytesMut::new(), Vec::<Half>::new(), Vec::<RequestId>::new());
         loop {
             let mut room = [0; 4096];
             let n = io.read(&mut room).ok().filter(|n| *n > 0)?;
@@ -118,41 +120,41 @@
         record: Record,
         way: Way,
         halves: &mut Vec<Half>,
-        waiting: &mut Vec<Id>,
+        waiting: &mut Vec<RequestId>,
     ) -> Option<()> {
         let Record { kind, id, content } = record;
         let half = halves.iter().position(|h| h.id == id);
         match kind {
-            Kind::GetValues => {
+            RecordType::GetValues => {
                 let many = if matches!(way, Way::Together(_) | Way::DieTogether(_)) { "1" } else { "0" };
                 let mut told = BytesMut::new();
                 pairs::put(&mut told, b"FCGI_MPXS_CONNS", many.as_bytes());
                 pairs::put(&mut told, b"FCGI_MAX_REQS", b"16");
                 let mut said = BytesMut::new();
-                put(&mut said, Kind::GetValuesResult, MANAGEMENT, &told);
+                put(&mut said, RecordType::GetValuesResult, MANAGEMENT, &told);
                 io.write_all(&said).ok()
             }
-            Kind::Begin => {
+            RecordType::Begin => {
                 halves.push(Half { id, ..Half::default() });
                 Some(())
             }
-            Kind::Abort => {
+            RecordType::Abort => {
                 self.aborted.fetch_add(1, Ordering::Relaxed);
                 waiting.retain(|w| *w != id);
                 let mut said = BytesMut::new();
-                put_end(&mut said, id, 0, Ended::Complete);
+                put_end(&mut said, id, 0, ProtocolStatus::Complete);
                 io.write_all(&said).ok()
             }
-            Kind::Params if way == Way::CloseInParams => None,
-            Kind::Params if content.is_empty() && way == Way::AnswerEarly => {
+            RecordType::Params if way == Way::CloseInParams => None,
+            RecordType::Params if content.is_empty() && way == Way::AnswerEarly => {
                 self.noted(&halves[half?]);
                 io.write_all(&whole(id, FINE, 0)).ok()
             }
-            Kind::Params => {
+            RecordType::Params => {
                 halves[half?].params.extend_from_slice(&content);
                 Some(())
             }
-            Kind::Stdin if content.is_empty() => {
+            RecordType::Stdin if content.is_empty() => {
                 let half = halves.remove(half?);
                 if way != Way::AnswerEarly {
                     self.noted(&half);
@@ -161,7 +163,7 @@
                 }
                 Some(())
             }
-            Kind::Stdin => {
+            RecordType::Stdin => {
                 halves[half?].body += content.len();
                 Some(())
             }
@@ -169,13 +171,13 @@
         }
     }
     fn noted(&self, half: &Half) {
-        let params = pairs::all(half.params.clone().freeze()).expect("sound params");
-        let told = cgi::told(&params).expect("CGI params");
+        let params = pairs::parse_all(half.params.clone().freeze()).expect("sound params");
+        let told = cgi::parse_request(&params).expect("CGI params");
         let id =
             told.headers.iter().find(|h| h.0 == "x-id").map(|h| String::from_utf8_lossy(&h.1).into_owned());
         self.ran.lock().expect("ran").push(id.unwrap_or_default());
     }
-    fn answer(&self, io: &mut TcpStream, way: Way, waiting: &mut Vec<Id>) -> Option<()> {
+    fn answer(&self, io: &mut TcpStream, way: Way, waiting: &mut Vec<RequestId>) -> Option<()> {
         let id = *waiting.last()?;
         let said = match way {
             Way::Ok | Way::CloseInParams | Way::AnswerEarly => whole(id, FINE, 0),
@@ -190,7 +192,7 @@
             }
             Way::DieTogether(_) => {
                 let mut said = out(waiting[0], FINE);
-                end_stream(&mut said, Kind::Stdout, waiting[0]);
+                end_stream(&mut said, RecordType::Stdout, waiting[0]);
                 io.write_all(&said).ok()?;
                 return None;
             }
@@ -203,7 +205,7 @@
                 // It never ran, whatever was noted.
                 self.ran.lock().expect("ran").pop();
                 let mut said = BytesMut::new();
-                put_end(&mut said, id, 0, Ended::Overloaded);
+                put_end(&mut said, id, 0, ProtocolStatus::Overloaded);
                 said
             }
             Way::AppStatus => whole(id, FINE, 3),
@@ -211,7 +213,7 @@
             Way::NoStatus => whole(id, "X-Own: yes\r\n\r\nok\n", 0),
             Way::EndWithoutStdout => {
                 let mut said = out(id, FINE);
-                put_end(&mut said, id, 0, Ended::Complete);
+                put_end(&mut said, id, 0, ProtocolStatus::Complete);
                 said
             }
             Way::StandStill => {
@@ -220,11 +222,11 @@
             }
             Way::Flood => {
                 let mut said = BytesMut::new();
-                (0..40).for_each(|_| put(&mut said, Kind::Stderr, id, &[b'e'; 4000]));
+                (0..40).for_each(|_| put(&mut said, RecordType::Stderr, id, &[b'e'; 4000]));
                 said.extend_from_slice(&whole(id, FINE, 0));
                 said
             }
-            Way::OtherId => whole(Id(id.0.wrapping_add(7)), FINE, 0),
+            Way::OtherId => whole(RequestId(id.0.wrapping_add(7)), FINE, 0),
             Way::Hang => return Some(()),
         };
         waiting.pop();
@@ -324,7 +326,7 @@
 /// A `FastCGI` client of the agent.
 struct Client {
     io: TcpStream,
-    asker: Asker,
+    client: ClientSide,
     heard: Vec<Answer>,
 }
 
@@ -332,37 +334,41 @@
     fn new(at: SocketAddr) -> Client {
         let io = TcpStream::connect(at).expect("it listens");
         io.set_read_timeout(Some(Duration::from_secs(10))).expect("a time-out");
-        Client { io, asker: Asker::new(ask::Bounds { body: 100_000, stderr: 1000 }), heard: Vec::new() }
+        Client {
+            io,
+            client: ClientSide::new(ClientLimits { stdout: 100_000, stderr: 1000 }),
+            heard: Vec::new(),
+        }
     }
     fn bytes(&mut self, id: u16, method: &str, path: &str, x_id: &str) -> Bytes {
         let headers = [("x-id", x_id.as_bytes())];
         let body: &[u8] = if method == "POST" { b"hello" } else { b"" };
-        let params = cgi::params(method, path, headers.into_iter(), body.len());
-        self.asker.wait(Id(id));
-        ask::request(Id(id), true, &params, body).bytes
+        let params = cgi::request_params(method, path, headers.into_iter(), body.len());
+        self.client.expect_answer(RequestId(id));
+        client::encode_request(RequestId(id), true, &params, body).bytes
     }
     fn say(&mut self, bytes: &[u8]) {
         self.io.write_all(bytes).expect("written");
     }
     /// The answer to this id: status (0: none), how it ended, the body.
-    fn hear(&mut self, id: u16) -> (u16, Ended, String) {
+    fn hear(&mut self, id: u16) -> (u16, ProtocolStatus, String) {
         let answer = self.whole(id);
-        let read = cgi::answer(&answer.stdout);
-        let status = read.as_ref().map_or(0, |r| r.0.status);
-        let body = read.map(|r| String::from_utf8_lossy(&r.1).into_owned()).unwrap_or_default();
-        (status, answer.ended, body)
+        let read = cgi::parse_answer(&answer.stdout);
+        let status = read.as_ref().map_or(0, |r| r.status);
+        let body = read.map(|r| String::from_utf8_lossy(&r.body).into_owned()).unwrap_or_default();
+        (status, answer.status, body)
     }
     /// The same as it came.
     fn whole(&mut self, id: u16) -> Answer {
         loop {
-            if let Some(at) = self.heard.iter().position(|a| a.id == Id(id)) {
+            if let Some(at) = self.heard.iter().position(|a| a.id == RequestId(id)) {
                 return self.heard.remove(at);
             }
             let mut room = [0; 4096];
             let n = self.io.read(&mut room).expect("an answer");
             assert!(n > 0, "the connection ended");
             let mut events = Vec::new();
-            self.asker.take(&room[..n], &mut events).expect("the agent speaks FastCGI");
+            self.client.receive(&room[..n], &mut events).expect("the agent speaks FastCGI");
             self.heard.extend(
                 events.into_iter().filter_map(|e| if let Event::Answered(a) = e { Some(a) } else { None }),
             );
@@ -397,8 +403,8 @@
     for piece in all.chunks(7) {
         client.say(piece);
     }
-    assert_eq!(client.hear(2), (200, Ended::Complete, "ok\n".into()));
-    assert_eq!(client.hear(1), (200, Ended::Complete, "ok\n".into()));
+    assert_eq!(client.hear(2), (200, ProtocolStatus::Complete, "ok\n".into()));
+    assert_eq!(client.hear(1), (200, ProtocolStatus::Complete, "ok\n".into()));
     let (status, _, body) = client.hear(3);
     assert!(status == 404 && body.starts_with("NO_ROUTE"), "{status} {body}");
     assert_eq!(server.ran(), ["hf", "ff"]);
@@ -414,11 +420,11 @@
     client.say(&asked);
     house.wait("it is out", || server.ran() == ["first"]);
     server.set(Way::Ok);
-    client.say(&ask::abort(Id(5)));
-    assert_eq!(client.hear(5).1, Ended::Complete);
+    client.say(&client::encode_abort(RequestId(5)));
+    assert_eq!(client.hear(5).1, ProtocolStatus::Complete);
     let asked = client.bytes(5, "POST", "/pay", "second");
     client.say(&asked);
-    assert_eq!(client.hear(5), (200, Ended::Complete, "ok\n".into()));
+    assert_eq!(client.hear(5), (200, ProtocolStatus::Complete, "ok\n".into()));
     house.wait("the first was let go", || house.counter("now_in_hand") == 0);
     assert_eq!(server.ran(), ["first", "second"]);
 }
@@ -430,14 +436,14 @@
     let mut client = Client::new(at);
     let asked = client.bytes(1, "POST", "/pay", "a");
     client.say(&asked);
-    assert_eq!(client.hear(1).1, Ended::Overloaded, "turned away by all");
+    assert_eq!(client.hear(1).1, ProtocolStatus::Overloaded, "turned away by all");
     server.set(Way::CloseInAnswer);
     house.wait("it is tried again", || {
         let asked = client.bytes(1, "POST", "/pay", "b");
         client.say(&asked);
         let (status, ended, _) = client.hear(1);
         assert!(
-            ended == Ended::Overloaded || (status, ended) == (502, Ended::Complete),
+            ended == ProtocolStatus::Overloaded || (status, ended) == (502, ProtocolStatus::Complete),
             "{status} {ended:?}"
         );
         status == 502
@@ -471,7 +477,11 @@
     let mut client = Client::new(at);
     let asked = client.bytes(1, "POST", "/http", "a");
     client.say(&asked);
-    assert_eq!(client.hear(1).1, Ended::Overloaded, "an HTTP backend that is not there, told in FastCGI");
+    assert_eq!(
+        client.hear(1).1,
+        ProtocolStatus::Overloaded,
+        "an HTTP backend that is not there, told in FastCGI"
+    );
     let heard = house.ask("POST", "/fast", "X-Id: b\r\n").expect("heard");
     assert!(
         heard.first.contains("503") && !heard.header("retry-after").is_empty(),
@@ -554,8 +564,8 @@
         client.io.set_write_timeout(Some(Duration::from_millis(100))).expect("a time-out");
         for id in 1..=20 {
             // All of a request but the end of its input.
-            let params = cgi::params("POST", "/pay", std::iter::empty(), 60_000);
-            let asked = ask::request(Id(id), true, &params, &[b'x'; 60_000]).bytes;
+            let params = cgi::request_params("POST", "/pay", std::iter::empty(), 60_000);
+            let asked = client::encode_request(RequestId(id), true, &params, &[b'x'; 60_000]).bytes;
             if client.io.write_all(&asked[..asked.len() - 8]).is_err() {
                 break;
             }
@@ -569,7 +579,7 @@
     let mut client = Client::new(at);
     let asked = client.bytes(1, "POST", "/pay", "fast");
     client.say(&asked);
-    assert_eq!(client.hear(1), (200, Ended::Complete, "ok\n".into()));
+    assert_eq!(client.hear(1), (200, ProtocolStatus::Complete, "ok\n".into()));
 }
 
 /// A refusal says on both fronts when to come back, and why.
@@ -589,7 +599,8 @@
     house.wait("it is full", || house.counter("POOL_FULL") > 0);
     let refused = clients.iter_mut().find_map(|client| {
         (1..=30).map(|id| client.whole(id)).find(|answer| {
-            answer.ended == Ended::Overloaded && String::from_utf8_lossy(&answer.stdout).contains("POOL_FULL")
+            answer.status == ProtocolStatus::Overloaded
+                && String::from_utf8_lossy(&answer.stdout).contains("POOL_FULL")
         })
     });
     let said = String::from_utf8_lossy(&refused.expect("a refusal").stdout).into_owned();
--- a/crates/fastcgi/examples/fuzz.rs
+++ b/crates/fastcgi/examples/fuzz.rs
@@ -3,10 +3,10 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use notchspool_fastcgi::ask::{self, Asker};
 use notchspool_fastcgi::cgi;
-use notchspool_fastcgi::record::Id;
-use notchspool_fastcgi::take::{Bounds, Event, Taker};
+use notchspool_fastcgi::client::{self, ClientLimits, ClientSide};
+use notchspool_fastcgi::protocol::RequestId;
+use notchspool_fastcgi::server::{Event, ServerLimits, ServerSide};
 
 struct Chance(u64);
 impl Chance {
@@ -49,22 +49,22 @@
                 _ => bytes.insert(at, chance.below(256) as u8),
             }
         }
-        let mut taker = Taker::new(Bounds { requests: 4, params: 1000, body: 1000 });
-        let mut asker = Asker::new(ask::Bounds { body: 1000, stderr: 1000 });
-        asker.wait(Id(1));
+        let mut server = ServerSide::new(ServerLimits { requests: 4, params: 1000, body: 1000 });
+        let mut client = ClientSide::new(ClientLimits { stdout: 1000, stderr: 1000 });
+        client.expect_answer(RequestId(1));
         let (mut taken, mut heard) = (Vec::new(), Vec::new());
         let piece = 1 + chance.below(64);
-        let _ = bytes.chunks(piece).try_for_each(|p| taker.take(p, &mut taken));
-        let _ = bytes.chunks(piece).try_for_each(|p| asker.take(p, &mut heard));
-        assert!(taker.open() <= 4, "{bytes:02x?}");
+        let _ = bytes.chunks(piece).try_for_each(|p| server.receive(p, &mut taken));
+        let _ = bytes.chunks(piece).try_for_each(|p| client.receive(p, &mut heard));
+        assert!(server.open_requests() <= 4, "{bytes:02x?}");
         for event in &taken {
-            if let Event::Asked(request) = event {
+            if let Event::Request(request) = event {
                 requests += 1;
-                let _ = cgi::told(&request.params);
+                let _ = cgi::parse_request(&request.params);
             }
         }
-        answers += heard.iter().filter(|e| matches!(e, ask::Event::Answered(_))).count() as u64;
-        let _ = cgi::answer(&Bytes::from(bytes));
+        answers += heard.iter().filter(|e| matches!(e, client::Event::Answered(_))).count() as u64;
+        let _ = cgi::parse_answer(&Bytes::from(bytes));
         runs += 1;
     }
     println!("{runs} runs, {requests} requests, {answers} answers, no fault");
--- a/crates/fastcgi/src/cgi.rs
+++ b/crates/fastcgi/src/cgi.rs
@@ -3,64 +3,107 @@
 
 use crate::pairs::Pair;
 
-/// A request as its params tell it.
+/// Statuses of HTTP.
+const STATUSES: std::ops::Range<u16> = 100..600;
+const STATUS_DIGITS: usize = 3;
+const DEFAULT_STATUS: u16 = 200;
+/// The status of an answer with a `Location` and none of its own.
+const REDIRECT_STATUS: u16 = 302;
+
+/// A request as its params state it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Told {
+pub struct CgiRequest {
+    /// Its method.
     pub method: String,
-    /// With its query.
+    /// Its path with its query.
     pub path: String,
+    /// Its host; empty where it is not stated.
     pub host: String,
-    /// Names in small letters, with dashes.
+    /// Names in lower case, with dashes.
     pub headers: Vec<(String, Bytes)>,
-    pub remote: String,
+    /// The client's address; empty where it is not stated.
+    pub client_address: String,
 }
 
-fn text(value: &Bytes) -> String {
-    String::from_utf8_lossy(value).into_owned()
+/// A param that is missing.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum MissingParam {
+    /// The method.
+    Method,
+    /// Everything that a path could be put together from.
+    Path,
 }
 
-/// Reads the params. `REQUEST_URI` is taken where it is there, as it came; else the path is put together from
-/// `SCRIPT_NAME`, `PATH_INFO` and `QUERY_STRING`. An error names the param.
-pub fn told(params: &[Pair]) -> Result<Told, &'static str> {
-    let find = |name: &str| params.iter().find(|p| &p.0[..] == name.as_bytes()).map(|p| &p.1);
-    let given = |name| find(name).map(text).filter(|v| !v.is_empty());
-    let method = given("REQUEST_METHOD").ok_or("no REQUEST_METHOD")?;
-    let path = match given("REQUEST_URI") {
-        Some(uri) => uri,
-        None => {
-            let path = given("SCRIPT_NAME").unwrap_or_default() + &given("PATH_INFO").unwrap_or_default();
-            if path.is_empty() {
-                return Err("neither REQUEST_URI nor SCRIPT_NAME and PATH_INFO");
-            }
-            path + &given("QUERY_STRING").map(|q| format!("?{q}")).unwrap_or_default()
-        }
-    };
-    let mut headers = Vec::new();
-    for (name, value) in params {
-        let own = match &name[..] {
-            b"CONTENT_TYPE" if !value.is_empty() => Some("content-type".to_owned()),
-            name => name.strip_prefix(b"HTTP_").map(|n| String::from_utf8_lossy(n).replace('_', "-")),
-        };
-        headers.extend(own.map(|name| (name.to_ascii_lowercase(), value.clone())));
+impl std::fmt::Display for MissingParam {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        f.write_str(match self {
+            MissingParam::Method => "no REQUEST_METHOD",
+            MissingParam::Path => "neither REQUEST_URI nor SCRIPT_NAME and PATH_INFO",
+        })
     }
-    Ok(Told {
+}
+
+impl std::error::Error for MissingParam {}
+
+/// Reads the params. `REQUEST_URI` is taken where it is there, as it came; else the path is put together from `SCRIPT_NAME`, `PATH_INFO` and
+/// `QUERY_STRING`.
+///
+/// # Errors
+///
+/// There is no method, or nothing of a path.
+pub fn parse_request(params: &[Pair]) -> Result<CgiRequest, MissingParam> {
+    let method = find(params, "REQUEST_METHOD").ok_or(MissingParam::Method)?;
+    let path = find(params, "REQUEST_URI").or_else(|| assemble_path(params)).ok_or(MissingParam::Path)?;
+    let host = find(params, "HTTP_HOST").or_else(|| find(params, "SERVER_NAME"));
+    Ok(CgiRequest {
         method,
         path,
-        host: given("HTTP_HOST").or(given("SERVER_NAME")).unwrap_or_default(),
-        headers,
-        remote: given("REMOTE_ADDR").unwrap_or_default(),
+        host: host.unwrap_or_default(),
+        headers: params.iter().filter_map(header).collect(),
+        client_address: find(params, "REMOTE_ADDR").unwrap_or_default(),
     })
 }
 
+/// A param that is not empty.
+fn find(params: &[Pair], name: &str) -> Option<String> {
+    let pair = params.iter().find(|pair| pair.name == name.as_bytes())?;
+    Some(String::from_utf8_lossy(&pair.value).into_owned()).filter(|value| !value.is_empty())
+}
+
+fn assemble_path(params: &[Pair]) -> Option<String> {
+    let script = find(params, "SCRIPT_NAME").unwrap_or_default();
+    let path = script + &find(params, "PATH_INFO").unwrap_or_default();
+    if path.is_empty() {
+        return None;
+    }
+    let query = find(params, "QUERY_STRING").map(|query| format!("?{query}"));
+    Some(path + &query.unwrap_or_default())
+}
+
+/// A param that is a header.
+fn header(pair: &Pair) -> Option<(String, Bytes)> {
+    let name = match &pair.name[..] {
+        b"CONTENT_TYPE" if !pair.value.is_empty() => "content-type".to_owned(),
+        name => {
+            let name = name.strip_prefix(b"HTTP_")?;
+            String::from_utf8_lossy(name).replace('_', "-").to_ascii_lowercase()
+        }
+    };
+    Some((name, pair.value.clone()))
+}
+
 /// Params of a request on its way to a server. `headers` are names in any case with their values.
-pub fn params<'a>(
+pub fn request_params<'a>(
     method: &str,
     path: &str,
     headers: impl Iterator<Item = (&'a str, &'a [u8])>,
-    body: usize,
+    body_length: usize,
 ) -> Vec<Pair> {
     let (script, query) = path.split_once('?').unwrap_or((path, ""));
-    let pair = |name: &str, value: &str| (Bytes::from(name.to_owned()), Bytes::from(value.to_owned()));
+    let pair = |name: &str, value: &str| Pair {
+        name: Bytes::from(name.to_owned()),
+        value: Bytes::from(value.to_owned()),
+    };
     let mut params = vec![
         pair("GATEWAY_INTERFACE", "CGI/1.1"),
         pair("SERVER_PROTOCOL", "HTTP/1.1"),
@@ -69,76 +112,97 @@
         pair("REQUEST_URI", path),
         pair("SCRIPT_NAME", script),
         pair("QUERY_STRING", query),
-        pair("CONTENT_LENGTH", &body.to_string()),
+        pair("CONTENT_LENGTH", &body_length.to_string()),
     ];
-    for (name, value) in headers {
-        let value = Bytes::copy_from_slice(value);
-        let name = match name.to_ascii_lowercase().as_str() {
-            "content-type" => "CONTENT_TYPE".to_owned(),
-            // Anyone could slip a proxy into a script with this one.
-            "proxy" | "content-length" => continue,
-            name => format!("HTTP_{}", name.replace('-', "_").to_ascii_uppercase()),
-        };
-        params.push((name.into(), value));
-    }
+    params.extend(headers.filter_map(|(name, value)| {
+        Some(Pair { name: param_name(name)?.into(), value: Bytes::copy_from_slice(value) })
+    }));
     params
 }
 
-/// The head of an answer.
+/// The name of a header as a param; nothing where it does not go along.
+fn param_name(header: &str) -> Option<String> {
+    match header.to_ascii_lowercase().as_str() {
+        "content-type" => Some("CONTENT_TYPE".to_owned()),
+        // Anyone could slip a proxy into a script with this one.
+        "proxy" | "content-length" => None,
+        name => Some(format!("HTTP_{}", name.replace('-', "_").to_ascii_uppercase())),
+    }
+}
+
+/// An answer as its stdout states it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Head {
+pub struct CgiAnswer {
+    /// Its status.
     pub status: u16,
+    /// Its headers, names in lower case.
     pub headers: Vec<(String, Bytes)>,
+    /// Its body.
+    pub body: Bytes,
 }
 
-/// Reads head and body of an answer's stdout. `Status` is 200 where it is left out, 302 beside a `Location`. None
-/// where the head has no end, or a line of it can't be read.
-pub fn answer(stdout: &Bytes) -> Option<(Head, Bytes)> {
-    let mut head = Head { status: 0, headers: Vec::new() };
-    let mut at = 0;
+/// Reads an answer's stdout. The status is 200 where it is left out, 302 beside a `Location`. Nothing where the head has no end, or a line of it can't
+/// be read.
+pub fn parse_answer(stdout: &Bytes) -> Option<CgiAnswer> {
+    let (mut status, mut headers) = (None, Vec::new());
+    let mut rest = stdout.clone();
     loop {
-        let end = at + stdout[at..].iter().position(|&b| b == b'\n')?;
-        let line = stdout[at..end].strip_suffix(b"\r").unwrap_or(&stdout[at..end]);
-        let from = at;
-        at = end + 1;
+        let end = rest.iter().position(|&byte| byte == b'\n')?;
+        let line = rest.split_to(end + 1).slice(..end);
+        let line = if line.ends_with(b"\r") { line.slice(..end - 1) } else { line };
         if line.is_empty() {
             break;
         }
-        let colon = line.iter().position(|&b| b == b':')?;
-        let name = std::str::from_utf8(&line[..colon]).ok()?.trim().to_ascii_lowercase();
-        if name.is_empty() || !name.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-' || b == b'_') {
-            return None;
-        }
-        let value = line[colon + 1..].trim_ascii();
-        if name == "status" {
-            let code = value.get(..3).and_then(|v| std::str::from_utf8(v).ok())?.parse::<u16>().ok()?;
-            head.status = Some(code).filter(|code| (100..600).contains(code))?;
-            continue;
+        match parse_line(&line)? {
+            HeadLine::Status(stated) => status = Some(stated),
+            HeadLine::Header(name, value) => headers.push((name, value)),
         }
-        let start = from + colon + 1 + line[colon + 1..].len() - line[colon + 1..].trim_ascii_start().len();
-        head.headers.push((name, stdout.slice(start..start + value.len())));
     }
     // An answer without a single header is none.
-    if head.headers.is_empty() && head.status == 0 {
+    if headers.is_empty() && status.is_none() {
         return None;
     }
-    if head.status == 0 {
-        head.status = if head.headers.iter().any(|h| h.0 == "location") { 302 } else { 200 };
+    let is_redirect = headers.iter().any(|(name, _)| name == "location");
+    let default = if is_redirect { REDIRECT_STATUS } else { DEFAULT_STATUS };
+    Some(CgiAnswer { status: status.unwrap_or(default), headers, body: rest })
+}
+
+enum HeadLine {
+    Status(u16),
+    Header(String, Bytes),
+}
+
+fn parse_line(line: &Bytes) -> Option<HeadLine> {
+    let colon = line.iter().position(|&byte| byte == b':')?;
+    let name = std::str::from_utf8(&line[..colon]).ok()?.trim().to_ascii_lowercase();
+    let is_valid = name.bytes().all(|byte| byte.is_ascii_alphanumeric() || byte == b'-' || byte == b'_');
+    if name.is_empty() || !is_valid {
+        return None;
+    }
+    let value = line.slice_ref(line[colon + 1..].trim_ascii());
+    if name != "status" {
+        return Some(HeadLine::Header(name, value));
     }
-    Some((head, stdout.slice(at..)))
+    let digits = std::str::from_utf8(value.get(..STATUS_DIGITS)?).ok()?;
+    let status = digits.parse().ok().filter(|status| STATUSES.contains(status))?;
+    Some(HeadLine::Status(status))
 }
 
 /// Writes the head and body of an answer.
-pub fn put_answer<'a>(status: u16, headers: impl Iterator<Item = (&'a str, &'a [u8])>, body: &[u8]) -> Bytes {
-    let mut said = BytesMut::new();
-    said.extend_from_slice(format!("Status: {status}\r\n").as_bytes());
+pub fn encode_answer<'a>(
+    status: u16,
+    headers: impl Iterator<Item = (&'a str, &'a [u8])>,
+    body: &[u8],
+) -> Bytes {
+    let mut stdout = BytesMut::new();
+    stdout.extend_from_slice(format!("Status: {status}\r\n").as_bytes());
     for (name, value) in headers {
-        said.extend_from_slice(name.as_bytes());
-        said.extend_from_slice(b": ");
-        said.extend_from_slice(value);
-        said.extend_from_slice(b"\r\n");
+        stdout.extend_from_slice(name.as_bytes());
+        stdout.extend_from_slice(b": ");
+        stdout.extend_from_slice(value);
+        stdout.extend_from_slice(b"\r\n");
     }
-    said.extend_from_slice(b"\r\n");
-    said.extend_from_slice(body);
-    said.freeze()
+    stdout.extend_from_slice(b"\r\n");
+    stdout.extend_from_slice(body);
+    stdout.freeze()
 }
--- a/crates/fastcgi/src/pairs.rs
+++ b/crates/fastcgi/src/pairs.rs
@@ -1,44 +1,59 @@
-//! Name-value pairs: each length in one byte below 128, else in four with the highest bit set.
+//! Name-value pairs (specification, section 3.4): each length in one byte below 128, else in four with the highest bit set.
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
-pub type Pair = (Bytes, Bytes);
+/// Lengths below this take one byte.
+const SHORT_LENGTH: u8 = 0x80;
+const LONG_LENGTH_FLAG: u32 = 0x8000_0000;
+const MAX_LENGTH: usize = 0x7fff_ffff;
 
-fn length(from: &[u8]) -> Option<(usize, usize)> {
-    match *from {
-        [short, ..] if short < 0x80 => Some((usize::from(short), 1)),
+/// A name and its value.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Pair {
+    /// The name.
+    pub name: Bytes,
+    /// The value.
+    pub value: Bytes,
+}
+
+/// A length, and how many bytes it takes.
+fn length(bytes: &[u8]) -> Option<(usize, usize)> {
+    match *bytes {
+        [short, ..] if short < SHORT_LENGTH => Some((usize::from(short), 1)),
         [a, b, c, d, ..] => Some((u32::from_be_bytes([a & 0x7f, b, c, d]) as usize, 4)),
         _ => None,
     }
 }
 
-/// Takes the next whole pair; none where more has to come first.
-pub fn next(from: &mut Bytes) -> Option<Pair> {
-    let (name, first) = length(from)?;
-    let (value, second) = length(&from[first..])?;
-    if from.len() - first - second < name.checked_add(value)? {
+/// Takes the next complete pair; nothing where more has to come first.
+pub fn next(bytes: &mut Bytes) -> Option<Pair> {
+    let (name_length, name_prefix) = length(bytes)?;
+    let (value_length, value_prefix) = length(&bytes[name_prefix..])?;
+    let prefixes = name_prefix + value_prefix;
+    if bytes.len() - prefixes < name_length.checked_add(value_length)? {
         return None;
     }
-    from.advance(first + second);
-    let name = from.split_to(name);
-    Some((name, from.split_to(value)))
+    bytes.advance(prefixes);
+    let name = bytes.split_to(name_length);
+    Some(Pair { name, value: bytes.split_to(value_length) })
 }
 
-/// All pairs of what has come whole. None where it ends in the middle of one.
-pub fn all(mut from: Bytes) -> Option<Vec<Pair>> {
+/// All pairs of a complete stream; nothing where it ends in the middle of one.
+pub fn parse_all(mut bytes: Bytes) -> Option<Vec<Pair>> {
     let mut pairs = Vec::new();
-    while !from.is_empty() {
-        pairs.push(next(&mut from)?);
+    while !bytes.is_empty() {
+        pairs.push(next(&mut bytes)?);
     }
     Some(pairs)
 }
 
-pub fn put(into: &mut BytesMut, name: &[u8], value: &[u8]) {
+/// Writes a pair.
+pub fn put(buffer: &mut BytesMut, name: &[u8], value: &[u8]) {
     for part in [name, value] {
-        match u8::try_from(part.len()).ok().filter(|n| *n < 0x80) {
-            Some(short) => into.put_u8(short),
-            None => into.put_u32(part.len().min(0x7fff_ffff) as u32 | 0x8000_0000),
+        match u8::try_from(part.len()).ok().filter(|length| *length < SHORT_LENGTH) {
+            Some(short) => buffer.put_u8(short),
+            None => buffer.put_u32(part.len().min(MAX_LENGTH) as u32 | LONG_LENGTH_FLAG),
         }
     }
-    into.put_slice(name);
-    into.put_slice(value);
+    buffer.put_slice(name);
+    buffer.put_slice(value);
 }
--- a/crates/fastcgi/src/record.rs
+++ b/crates/fastcgi/src/record.rs
@@ -1,162 +1,90 @@
-//! Records: an eight-byte head, a content, padding.
+//! Records (specification, section 3.3): an eight-byte head, a content, padding.
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
-use crate::wrong::Wrong;
+use crate::error::ProtocolError;
+use crate::protocol::{
+    FLAG_KEEP_CONNECTION, ProtocolStatus, REQUEST_CONTENT_BYTES, RecordType, RequestId, VERSION,
+};
 
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Id(pub u16);
-
-/// Of the connection, not of a request.
-pub const MANAGEMENT: Id = Id(0);
-pub const HEAD: usize = 8;
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Kind {
-    Begin,
-    Abort,
-    End,
-    Params,
-    Stdin,
-    Stdout,
-    Stderr,
-    Data,
-    GetValues,
-    GetValuesResult,
-    UnknownType,
-    /// Any other number.
-    Other(u8),
-}
-
-impl Kind {
-    const ALL: [Kind; 11] = [
-        Kind::Begin,
-        Kind::Abort,
-        Kind::End,
-        Kind::Params,
-        Kind::Stdin,
-        Kind::Stdout,
-        Kind::Stderr,
-        Kind::Data,
-        Kind::GetValues,
-        Kind::GetValuesResult,
-        Kind::UnknownType,
-    ];
-    pub fn of(number: u8) -> Kind {
-        let at = usize::from(number).wrapping_sub(1);
-        Kind::ALL.get(at).copied().unwrap_or(Kind::Other(number))
-    }
-    pub fn number(self) -> u8 {
-        match self {
-            Kind::Other(number) => number,
-            kind => Kind::ALL.iter().position(|k| *k == kind).map_or(0, |at| at as u8 + 1),
-        }
-    }
-}
+const HEAD_BYTES: usize = 8;
+/// Contents are padded to a multiple of this, in bytes.
+const ALIGNMENT: usize = 8;
+/// A record holds this much of a stream at the most, in bytes.
+const STREAM_CHUNK_BYTES: usize = 32 * 1024;
 
+/// One record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    pub kind: Kind,
-    pub id: Id,
+    /// Its type.
+    pub kind: RecordType,
+    /// Its request.
+    pub id: RequestId,
+    /// Its content.
     pub content: Bytes,
 }
 
-/// Takes the next whole record out of what has come; none where more has to come first. Padding is passed over.
-pub fn next(from: &mut BytesMut) -> Result<Option<Record>, Wrong> {
-    let Some(head) = from.first_chunk::<HEAD>() else {
-        // A wrong version is told at its first byte, not after seven more.
-        return match from.first() {
-            Some(&version) if version != 1 => Err(Wrong::Version(version)),
-            _ => Ok(None),
-        };
-    };
-    if head[0] != 1 {
-        return Err(Wrong::Version(head[0]));
+/// Takes the next complete record out of what has come; nothing where more has to come first. Padding is passed over.
+///
+/// # Errors
+///
+/// Another version, which is told by its first byte.
+pub fn next(received: &mut BytesMut) -> Result<Option<Record>, ProtocolError> {
+    match received.first() {
+        None => return Ok(None),
+        Some(&version) if version != VERSION => return Err(ProtocolError::Version(version)),
+        Some(_) => {}
     }
-    let (kind, id) = (Kind::of(head[1]), Id(u16::from_be_bytes([head[2], head[3]])));
+    let Some(head) = received.first_chunk::<HEAD_BYTES>() else { return Ok(None) };
+    let kind = RecordType::from_number(head[1]);
+    let id = RequestId(u16::from_be_bytes([head[2], head[3]]));
     let length = usize::from(u16::from_be_bytes([head[4], head[5]]));
     let padding = usize::from(head[6]);
-    if from.len() < HEAD + length + padding {
+    if received.len() < HEAD_BYTES + length + padding {
         return Ok(None);
     }
-    from.advance(HEAD);
-    let content = from.split_to(length).freeze();
-    from.advance(padding);
+    received.advance(HEAD_BYTES);
+    let content = received.split_to(length).freeze();
+    received.advance(padding);
     Ok(Some(Record { kind, id, content }))
 }
 
-/// Writes one record, padded to a multiple of eight. The content holds 65,535 bytes at most.
-pub fn put(into: &mut BytesMut, kind: Kind, id: Id, content: &[u8]) {
+/// Writes one record. The content holds 65,535 bytes at the most.
+pub fn put(buffer: &mut BytesMut, kind: RecordType, id: RequestId, content: &[u8]) {
     let length = content.len().min(usize::from(u16::MAX));
-    let padding = length.next_multiple_of(8) - length;
-    into.reserve(HEAD + length + padding);
-    into.put_u8(1);
-    into.put_u8(kind.number());
-    into.put_u16(id.0);
-    into.put_u16(length as u16);
-    into.put_u8(padding as u8);
-    into.put_u8(0);
-    into.put_slice(&content[..length]);
-    into.put_bytes(0, padding);
+    let padding = length.next_multiple_of(ALIGNMENT) - length;
+    buffer.reserve(HEAD_BYTES + length + padding);
+    buffer.put_u8(VERSION);
+    buffer.put_u8(kind.number());
+    buffer.put_u16(id.0);
+    buffer.put_u16(length as u16);
+    buffer.put_u8(padding as u8);
+    buffer.put_u8(0);
+    buffer.put_slice(&content[..length]);
+    buffer.put_bytes(0, padding);
 }
 
-/// Of a stream: a record holds this much of it at most.
-const PIECE: usize = 32 * 1024;
-
 /// Writes some of a stream, in records; nothing of nothing, as that would end it.
-pub fn put_stream(into: &mut BytesMut, kind: Kind, id: Id, content: &[u8]) {
-    content.chunks(PIECE).for_each(|piece| put(into, kind, id, piece));
-}
-/// Ends a stream.
-pub fn end_stream(into: &mut BytesMut, kind: Kind, id: Id) {
-    put(into, kind, id, &[]);
-}
-
-/// How a request ended, as far as the protocol goes.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
-    Complete,
-    CantMultiplex,
-    Overloaded,
-    UnknownRole,
-    Other(u8),
+pub fn put_stream(buffer: &mut BytesMut, kind: RecordType, id: RequestId, content: &[u8]) {
+    content.chunks(STREAM_CHUNK_BYTES).for_each(|chunk| put(buffer, kind, id, chunk));
 }
 
-impl Ended {
-    pub fn of(number: u8) -> Ended {
-        match number {
-            0 => Ended::Complete,
-            1 => Ended::CantMultiplex,
-            2 => Ended::Overloaded,
-            3 => Ended::UnknownRole,
-            other => Ended::Other(other),
-        }
-    }
-    pub fn number(self) -> u8 {
-        match self {
-            Ended::Complete => 0,
-            Ended::CantMultiplex => 1,
-            Ended::Overloaded => 2,
-            Ended::UnknownRole => 3,
-            Ended::Other(other) => other,
-        }
-    }
+/// Ends a stream.
+pub fn end_stream(buffer: &mut BytesMut, kind: RecordType, id: RequestId) {
+    put(buffer, kind, id, &[]);
 }
 
 /// Writes the end of a request.
-pub fn put_end(into: &mut BytesMut, id: Id, app_status: u32, ended: Ended) {
-    let mut body = [0; 8];
-    body[..4].copy_from_slice(&app_status.to_be_bytes());
-    body[4] = ended.number();
-    put(into, Kind::End, id, &body);
+pub fn put_end(buffer: &mut BytesMut, id: RequestId, app_status: u32, status: ProtocolStatus) {
+    let mut content = [0; REQUEST_CONTENT_BYTES];
+    content[..4].copy_from_slice(&app_status.to_be_bytes());
+    content[4] = status.number();
+    put(buffer, RecordType::End, id, &content);
 }
 
-pub const RESPONDER: u16 = 1;
-pub const KEEP_CONNECTION: u8 = 1;
-
 /// Writes the beginning of a request.
-pub fn put_begin(into: &mut BytesMut, id: Id, role: u16, keep: bool) {
-    let mut body = [0; 8];
-    body[..2].copy_from_slice(&role.to_be_bytes());
-    body[2] = if keep { KEEP_CONNECTION } else { 0 };
-    put(into, Kind::Begin, id, &body);
+pub fn put_begin(buffer: &mut BytesMut, id: RequestId, role: u16, keep_connection: bool) {
+    let mut content = [0; REQUEST_CONTENT_BYTES];
+    content[..2].copy_from_slice(&role.to_be_bytes());
+    content[2] = if keep_connection { FLAG_KEEP_CONNECTION } else { 0 };
+    put(buffer, RecordType::Begin, id, &content);
 }
--- a/crates/fastcgi/tests/both.rs
+++ b/crates/fastcgi/tests/both_sides.rs
@@ -1,11 +1,12 @@
 //! Both sides by random bytes: whatever is written, cut anywhere and mixed, is read as it was meant; what is wrong is
 //! named; nothing panics.
 use bytes::{BufMut, Bytes, BytesMut};
-use notchspool_fastcgi::ask::{self, Asker};
+use notchspool_fastcgi::client::{self, ClientLimits, ClientSide};
 use notchspool_fastcgi::pairs::{self, Pair};
+use notchspool_fastcgi::protocol::*;
 use notchspool_fastcgi::record::*;
-use notchspool_fastcgi::take::{self, Bounds, Taker};
-use notchspool_fastcgi::{Wrong, cgi};
+use notchspool_fastcgi::server::{self, ServerLimits, ServerSide};
+use notchspool_fastcgi::{ProtocolError, cgi};
 use proptest::collection::vec;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -19,8 +20,8 @@
     }
 }
 
-const BOUNDS: Bounds = Bounds { requests: 8, params: 70_000, body: 70_000 };
-const ANSWERS: ask::Bounds = ask::Bounds { body: 70_000, stderr: 1000 };
+const BOUNDS: ServerLimits = ServerLimits { requests: 8, params: 70_000, body: 70_000 };
+const ANSWERS: ClientLimits = ClientLimits { stdout: 70_000, stderr: 1000 };
 
 /// Bytes in pieces of these lengths, round and round.
 fn cut(bytes: &[u8], cuts: &[usize]) -> Vec<Vec<u8>> {
@@ -34,7 +35,7 @@
 }
 
 /// A record with any padding.
-fn padded(into: &mut BytesMut, kind: Kind, id: Id, content: &[u8], padding: u8) {
+fn padded(into: &mut BytesMut, kind: RecordType, id: RequestId, content: &[u8], padding: u8) {
     into.put_slice(&[1, kind.number()]);
     into.put_u16(id.0);
     into.put_u16(content.len() as u16);
@@ -44,20 +45,20 @@
 }
 
 /// The records of one request, its streams in pieces of this length.
-fn records(id: Id, params: &[Pair], body: &[u8], piece: usize, padding: u8) -> Vec<Bytes> {
+fn records(id: RequestId, params: &[Pair], body: &[u8], piece: usize, padding: u8) -> Vec<Bytes> {
     let mut all = Vec::new();
     let mut one = |kind, content: &[u8]| {
         let mut bytes = BytesMut::new();
         padded(&mut bytes, kind, id, content, padding);
         all.push(bytes.freeze());
     };
-    one(Kind::Begin, &[0, 1, KEEP_CONNECTION, 0, 0, 0, 0, 0]);
+    one(RecordType::Begin, &[0, 1, FLAG_KEEP_CONNECTION, 0, 0, 0, 0, 0]);
     let mut told = BytesMut::new();
-    params.iter().for_each(|(n, v)| pairs::put(&mut told, n, v));
-    told.chunks(piece).for_each(|c| one(Kind::Params, c));
-    one(Kind::Params, &[]);
-    body.chunks(piece).for_each(|c| one(Kind::Stdin, c));
-    one(Kind::Stdin, &[]);
+    params.iter().for_each(|pair| pairs::put(&mut told, &pair.name, &pair.value));
+    told.chunks(piece).for_each(|c| one(RecordType::Params, c));
+    one(RecordType::Params, &[]);
+    body.chunks(piece).for_each(|c| one(RecordType::Stdin, c));
+    one(RecordType::Stdin, &[]);
     all
 }
 
@@ -77,7 +78,8 @@
 }
 
 fn pair() -> impl Strategy<Value = Pair> {
-    (vec(any::<u8>(), 0..200), vec(any::<u8>(), 0..300)).prop_map(|(n, v)| (n.into(), v.into()))
+    (vec(any::<u8>(), 0..200), vec(any::<u8>(), 0..300))
+        .prop_map(|(n, v)| Pair { name: n.into(), value: v.into() })
 }
 
 proptest! {
@@ -89,20 +91,20 @@
         cuts in vec(1usize..200, 1..20), picks in vec(0usize..7, 1..40),
         piece in 1usize..300, padding in any::<u8>(),
     ) {
-        let id = |n: usize| Id(n as u16 * 257 + 1);
+        let id = |n: usize| RequestId(n as u16 * 257 + 1);
         let rows = asked.iter().enumerate().map(|(n, (p, b))| records(id(n), p, b, piece, padding)).collect();
-        let (mut taker, mut events) = (Taker::new(BOUNDS), Vec::new());
+        let (mut server, mut events) = (ServerSide::new(BOUNDS), Vec::new());
         for piece in cut(&mix(rows, &picks), &cuts) {
-            taker.take(&piece, &mut events).expect("nothing is wrong");
+            server.receive(&piece, &mut events).expect("nothing is wrong");
         }
         prop_assert_eq!(events.len(), asked.len());
         for event in events {
-            let take::Event::Asked(request) = event else { panic!("{event:?}") };
+            let server::Event::Request(request) = event else { panic!("{event:?}") };
             let n = (request.id.0 as usize - 1) / 257;
             prop_assert_eq!(&request.params, &asked[n].0);
             prop_assert_eq!(&request.body[..], &asked[n].1[..]);
         }
-        prop_assert_eq!(taker.open(), asked.len());
+        prop_assert_eq!(server.open_requests(), asked.len());
     }
 
     #[test]
@@ -110,31 +112,31 @@
         said in vec((vec(any::<u8>(), 0..900), vec(any::<u8>(), 0..50), any::<u32>()), 1..7),
         cuts in vec(1usize..200, 1..20), picks in vec(0usize..7, 1..40), piece in 1usize..300,
     ) {
-        let mut asker = Asker::new(ANSWERS);
+        let mut client = ClientSide::new(ANSWERS);
         let mut rows = Vec::new();
         for (n, (out, err, status)) in said.iter().enumerate() {
-            let id = Id(n as u16 + 1);
-            asker.wait(id);
+            let id = RequestId(n as u16 + 1);
+            client.expect_answer(id);
             let mut row = Vec::new();
             let mut one = |kind, content: &[u8]| {
                 let mut bytes = BytesMut::new();
                 put(&mut bytes, kind, id, content);
                 row.push(bytes.freeze());
             };
-            err.chunks(piece).for_each(|c| one(Kind::Stderr, c));
-            out.chunks(piece).for_each(|c| one(Kind::Stdout, c));
-            one(Kind::Stdout, &[]);
+            err.chunks(piece).for_each(|c| one(RecordType::Stderr, c));
+            out.chunks(piece).for_each(|c| one(RecordType::Stdout, c));
+            one(RecordType::Stdout, &[]);
             let mut end = BytesMut::new();
-            put_end(&mut end, id, *status, Ended::Complete);
+            put_end(&mut end, id, *status, ProtocolStatus::Complete);
             row.push(end.freeze());
             rows.push(row);
         }
         let mut events = Vec::new();
         for piece in cut(&mix(rows, &picks), &cuts) {
-            asker.take(&piece, &mut events).expect("nothing is wrong");
+            client.receive(&piece, &mut events).expect("nothing is wrong");
         }
-        let answers: Vec<&ask::Answer> = events.iter().filter_map(|e| match e {
-            ask::Event::Answered(answer) => Some(answer),
+        let answers: Vec<&client::Answer> = events.iter().filter_map(|e| match e {
+            client::Event::Answered(answer) => Some(answer),
             _ => None,
         }).collect();
         prop_assert_eq!(answers.len(), said.len());
@@ -142,9 +144,9 @@
             let (out, err, status) = &said[answer.id.0 as usize - 1];
             prop_assert_eq!(&answer.stdout[..], &out[..]);
             prop_assert_eq!(&answer.stderr[..], &err[..]);
-            prop_assert!(answer.whole && answer.app_status == *status);
+            prop_assert!(answer.is_complete && answer.app_status == *status);
         }
-        prop_assert!(!asker.in_the_middle());
+        prop_assert!(!client.has_partial_record());
     }
 
     #[test]
@@ -152,23 +154,23 @@
         params in vec(pair(), 0..6), body in vec(any::<u8>(), 0..900), answer in vec(any::<u8>(), 0..900),
         keep in any::<bool>(),
     ) {
-        let (mut asker, mut taker) = (Asker::new(ANSWERS), Taker::new(BOUNDS));
-        let asked = ask::request(Id(7), keep, &params, &body);
-        asker.wait(Id(7));
+        let (mut client, mut server) = (ClientSide::new(ANSWERS), ServerSide::new(BOUNDS));
+        let asked = client::encode_request(RequestId(7), keep, &params, &body);
+        client.expect_answer(RequestId(7));
         let mut events = Vec::new();
         // Up to where a server may begin it has nothing to begin with.
-        taker.take(&asked.bytes[..asked.begins - 1], &mut events).expect("sound");
+        server.receive(&asked.bytes[..asked.begins_at - 1], &mut events).expect("sound");
         prop_assert!(events.is_empty());
-        taker.take(&asked.bytes[asked.begins - 1..], &mut events).expect("sound");
-        let whole = matches!(&events[..], [take::Event::Asked(r)] if r.params == params && r.body == body);
+        server.receive(&asked.bytes[asked.begins_at - 1..], &mut events).expect("sound");
+        let whole = matches!(&events[..], [server::Event::Request(r)] if r.params == params && r.body == body);
         prop_assert!(whole);
-        let (said, close) = taker.answer(Id(7), &answer, Ended::Complete).expect("it is open");
-        prop_assert_eq!(close, !keep);
+        let answered = server.answer(RequestId(7), &answer, ProtocolStatus::Complete).expect("it is open");
+        prop_assert_eq!(answered.closes_connection, !keep);
         let mut heard = Vec::new();
-        asker.take(&said, &mut heard).expect("sound");
-        let Some(ask::Event::Answered(a)) = heard.last() else { panic!("{heard:?}") };
-        prop_assert!(a.whole && a.stdout == answer && a.ended == Ended::Complete);
-        prop_assert!(taker.answer(Id(7), b"", Ended::Complete).is_none(), "once");
+        client.receive(&answered.bytes, &mut heard).expect("sound");
+        let Some(client::Event::Answered(a)) = heard.last() else { panic!("{heard:?}") };
+        prop_assert!(a.is_complete && a.stdout == answer && a.status == ProtocolStatus::Complete);
+        prop_assert!(server.answer(RequestId(7), b"", ProtocolStatus::Complete).is_none(), "once");
     }
 }
 
@@ -189,103 +191,103 @@
                 }
             }
         }
-        let (mut taker, mut asker) = (Taker::new(BOUNDS), Asker::new(ANSWERS));
-        asker.wait(Id(1));
+        let (mut server, mut client) = (ServerSide::new(BOUNDS), ClientSide::new(ANSWERS));
+        client.expect_answer(RequestId(1));
         let (mut a, mut b) = (Vec::new(), Vec::new());
         let pieces = cut(&bytes, &cuts);
-        let _ = pieces.iter().try_for_each(|p| taker.take(p, &mut a));
-        let _ = pieces.iter().try_for_each(|p| asker.take(p, &mut b));
-        prop_assert!(taker.open() <= BOUNDS.requests);
-        let _ = cgi::answer(&Bytes::from(noise));
+        let _ = pieces.iter().try_for_each(|p| server.receive(p, &mut a));
+        let _ = pieces.iter().try_for_each(|p| client.receive(p, &mut b));
+        prop_assert!(server.open_requests() <= BOUNDS.requests);
+        let _ = cgi::parse_answer(&Bytes::from(noise));
     }
 }
 
 #[test]
 fn a_large_body_in_records_of_one_byte_with_the_most_padding() {
     let body: Vec<u8> = (0..65_536u32).map(|n| n as u8).collect();
-    let params = [(Bytes::from_static(b"A"), Bytes::from(vec![b'v'; 300]))];
-    let bytes = records(Id(1), &params, &body, 1, 255).concat();
-    let (mut taker, mut events) = (Taker::new(BOUNDS), Vec::new());
+    let params = [Pair { name: Bytes::from_static(b"A"), value: Bytes::from(vec![b'v'; 300]) }];
+    let bytes = records(RequestId(1), &params, &body, 1, 255).concat();
+    let (mut server, mut events) = (ServerSide::new(BOUNDS), Vec::new());
     for piece in bytes.chunks(4096) {
-        taker.take(piece, &mut events).expect("sound");
+        server.receive(piece, &mut events).expect("sound");
     }
-    let [take::Event::Asked(request)] = &events[..] else { panic!("{} events", events.len()) };
+    let [server::Event::Request(request)] = &events[..] else { panic!("{} events", events.len()) };
     assert_eq!(request.body, body);
 }
 
 fn rec(kind: u8, id: u16, content: &[u8]) -> Vec<u8> {
     let mut bytes = BytesMut::new();
-    put(&mut bytes, Kind::of(kind), Id(id), content);
+    put(&mut bytes, RecordType::from_number(kind), RequestId(id), content);
     bytes.to_vec()
 }
 const BEGIN: [u8; 8] = [0, 1, 1, 0, 0, 0, 0, 0];
 
 #[rstest]
-#[case::version(vec![vec![2, 1]], Wrong::Version(2))]
-#[case::kind(vec![rec(77, 1, b"x")], Wrong::Type(77, Id(1)))]
-#[case::answer_from_a_client(vec![rec(6, 1, b"x")], Wrong::Type(6, Id(1)))]
-#[case::begin_too_short(vec![rec(1, 1, &[0, 1, 1])], Wrong::Length(Kind::Begin, 3))]
-#[case::begin_too_long(vec![rec(1, 1, &[0; 9])], Wrong::Length(Kind::Begin, 9))]
-#[case::begin_as_management(vec![rec(1, 0, &BEGIN)], Wrong::Place(Kind::Begin, Id(0)))]
-#[case::values_of_a_request(vec![rec(9, 1, b"")], Wrong::Place(Kind::GetValues, Id(1)))]
-#[case::never_begun(vec![rec(4, 1, b"")], Wrong::NotOpen(Kind::Params, Id(1)))]
-#[case::begun_twice(vec![rec(1, 1, &BEGIN), rec(1, 1, &BEGIN)], Wrong::BegunTwice(Id(1)))]
-#[case::stdin_first(vec![rec(1, 1, &BEGIN), rec(5, 1, b"x")], Wrong::BeforeParams(Id(1)))]
-#[case::params_after_end(vec![rec(1, 1, &BEGIN), rec(4, 1, b""), rec(4, 1, b"")], Wrong::AfterEnd(Kind::Params, Id(1)))]
+#[case::version(vec![vec![2, 1]], ProtocolError::Version(2))]
+#[case::kind(vec![rec(77, 1, b"x")], ProtocolError::UnexpectedType(77, RequestId(1)))]
+#[case::answer_from_a_client(vec![rec(6, 1, b"x")], ProtocolError::UnexpectedType(6, RequestId(1)))]
+#[case::begin_too_short(vec![rec(1, 1, &[0, 1, 1])], ProtocolError::ContentLength(RecordType::Begin, 3))]
+#[case::begin_too_long(vec![rec(1, 1, &[0; 9])], ProtocolError::ContentLength(RecordType::Begin, 9))]
+#[case::begin_as_management(vec![rec(1, 0, &BEGIN)], ProtocolError::WrongId(RecordType::Begin, RequestId(0)))]
+#[case::values_of_a_request(vec![rec(9, 1, b"")], ProtocolError::WrongId(RecordType::GetValues, RequestId(1)))]
+#[case::never_begun(vec![rec(4, 1, b"")], ProtocolError::NotOpen(RecordType::Params, RequestId(1)))]
+#[case::begun_twice(vec![rec(1, 1, &BEGIN), rec(1, 1, &BEGIN)], ProtocolError::BegunTwice(RequestId(1)))]
+#[case::stdin_first(vec![rec(1, 1, &BEGIN), rec(5, 1, b"x")], ProtocolError::StdinBeforeParams(RequestId(1)))]
+#[case::params_after_end(vec![rec(1, 1, &BEGIN), rec(4, 1, b""), rec(4, 1, b"")], ProtocolError::AfterEnd(RecordType::Params, RequestId(1)))]
 #[case::stdin_after_end(
-    vec![rec(1, 1, &BEGIN), rec(4, 1, b""), rec(5, 1, b""), rec(5, 1, b"")], Wrong::AfterEnd(Kind::Stdin, Id(1)))]
-#[case::half_a_pair(vec![rec(1, 1, &BEGIN), rec(4, 1, &[5, 5, b'a']), rec(4, 1, b"")], Wrong::Pairs(Id(1)))]
+    vec![rec(1, 1, &BEGIN), rec(4, 1, b""), rec(5, 1, b""), rec(5, 1, b"")], ProtocolError::AfterEnd(RecordType::Stdin, RequestId(1)))]
+#[case::half_a_pair(vec![rec(1, 1, &BEGIN), rec(4, 1, &[5, 5, b'a']), rec(4, 1, b"")], ProtocolError::BrokenPair(RequestId(1)))]
 #[case::params_too_long(vec![rec(1, 1, &BEGIN), rec(4, 1, &[0; 60_000]), rec(4, 1, &[0; 20_000])],
-    Wrong::ParamsTooLong(Id(1), 70_000))]
+    ProtocolError::ParamsTooLong(RequestId(1), 70_000))]
 #[case::body_too_long(
     vec![rec(1, 1, &BEGIN), rec(4, 1, b""), rec(5, 1, &[0; 60_000]), rec(5, 1, &[0; 20_000])],
-    Wrong::BodyTooLong(Id(1), 70_000))]
-fn bad_requests_are_named(#[case] records: Vec<Vec<u8>>, #[case] wanted: Wrong) {
-    let (mut taker, mut events) = (Taker::new(BOUNDS), Vec::new());
-    let wrong = records.iter().try_for_each(|r| taker.take(r, &mut events)).expect_err("it is wrong");
+    ProtocolError::BodyTooLong(RequestId(1), 70_000))]
+fn bad_requests_are_named(#[case] records: Vec<Vec<u8>>, #[case] wanted: ProtocolError) {
+    let (mut server, mut events) = (ServerSide::new(BOUNDS), Vec::new());
+    let wrong = records.iter().try_for_each(|r| server.receive(r, &mut events)).expect_err("it is wrong");
     assert_eq!(wrong, wanted);
     assert!(!wrong.to_string().is_empty());
 }
 
 #[rstest]
-#[case::another_id(vec![rec(6, 2, b"x")], Wrong::NotOpen(Kind::Stdout, Id(2)))]
-#[case::after_its_end(vec![rec(6, 1, b""), rec(6, 1, b"x")], Wrong::AfterEnd(Kind::Stdout, Id(1)))]
-#[case::end_too_short(vec![rec(3, 1, &[0; 4])], Wrong::Length(Kind::End, 4))]
-#[case::request_from_a_server(vec![rec(4, 1, b"x")], Wrong::Type(4, Id(1)))]
-#[case::flood(vec![rec(7, 1, &[0; 900]), rec(7, 1, &[0; 900])], Wrong::StderrTooLong(Id(1), 1000))]
-#[case::too_long(vec![rec(6, 1, &[0; 60_000]), rec(6, 1, &[0; 20_000])], Wrong::BodyTooLong(Id(1), 70_000))]
-fn bad_answers_are_named(#[case] records: Vec<Vec<u8>>, #[case] wanted: Wrong) {
-    let (mut asker, mut events) = (Asker::new(ANSWERS), Vec::new());
-    asker.wait(Id(1));
-    let wrong = records.iter().try_for_each(|r| asker.take(r, &mut events)).expect_err("it is wrong");
+#[case::another_id(vec![rec(6, 2, b"x")], ProtocolError::NotOpen(RecordType::Stdout, RequestId(2)))]
+#[case::after_its_end(vec![rec(6, 1, b""), rec(6, 1, b"x")], ProtocolError::AfterEnd(RecordType::Stdout, RequestId(1)))]
+#[case::end_too_short(vec![rec(3, 1, &[0; 4])], ProtocolError::ContentLength(RecordType::End, 4))]
+#[case::request_from_a_server(vec![rec(4, 1, b"x")], ProtocolError::UnexpectedType(4, RequestId(1)))]
+#[case::flood(vec![rec(7, 1, &[0; 900]), rec(7, 1, &[0; 900])], ProtocolError::StderrTooLong(RequestId(1), 1000))]
+#[case::too_long(vec![rec(6, 1, &[0; 60_000]), rec(6, 1, &[0; 20_000])], ProtocolError::BodyTooLong(RequestId(1), 70_000))]
+fn bad_answers_are_named(#[case] records: Vec<Vec<u8>>, #[case] wanted: ProtocolError) {
+    let (mut client, mut events) = (ClientSide::new(ANSWERS), Vec::new());
+    client.expect_answer(RequestId(1));
+    let wrong = records.iter().try_for_each(|r| client.receive(r, &mut events)).expect_err("it is wrong");
     assert_eq!(wrong, wanted);
 }
 
-/// What a taker says to some records, as the other side hears it.
-fn said(bounds: Bounds, ids: &[u16], records: &[Vec<u8>]) -> (Vec<ask::Event>, Vec<take::Event>) {
-    let (mut taker, mut asker) = (Taker::new(bounds), Asker::new(ANSWERS));
-    ids.iter().for_each(|id| asker.wait(Id(*id)));
+/// What a server says to some records, as the other side hears it.
+fn said(bounds: ServerLimits, ids: &[u16], records: &[Vec<u8>]) -> (Vec<client::Event>, Vec<server::Event>) {
+    let (mut server, mut client) = (ServerSide::new(bounds), ClientSide::new(ANSWERS));
+    ids.iter().for_each(|id| client.expect_answer(RequestId(*id)));
     let (mut events, mut heard) = (Vec::new(), Vec::new());
-    records.iter().for_each(|r| taker.take(r, &mut events).expect("sound"));
+    records.iter().for_each(|r| server.receive(r, &mut events).expect("sound"));
     for event in &events {
         // What is said of an id that is heard of no more is of no interest here.
-        if let take::Event::Say(bytes) = event {
-            let _ = asker.take(bytes, &mut heard);
+        if let server::Event::Send(bytes) = event {
+            let _ = client.receive(bytes, &mut heard);
         }
     }
     (heard, events)
 }
 
 #[rstest]
-#[case::role(8, 2, Ended::UnknownRole)]
-#[case::room(0, 1, Ended::Overloaded)]
-#[case::alone(1, 1, Ended::CantMultiplex)]
+#[case::role(8, 2, ProtocolStatus::UnknownRole)]
+#[case::room(0, 1, ProtocolStatus::Overloaded)]
+#[case::alone(1, 1, ProtocolStatus::CantMultiplex)]
 fn what_can_not_be_taken_gets_its_end_and_the_id_is_free(
     #[case] requests: usize,
     #[case] role: u8,
-    #[case] ended: Ended,
+    #[case] ended: ProtocolStatus,
 ) {
-    let bounds = Bounds { requests, ..BOUNDS };
+    let bounds = ServerLimits { requests, ..BOUNDS };
     let mut begin = BEGIN;
     begin[1] = role;
     let mut records = Vec::new();
@@ -296,14 +298,17 @@
     records.extend([rec(1, 1, &begin), rec(4, 1, b""), rec(5, 1, b"abc"), rec(5, 1, b"")]);
     let (heard, events) = said(bounds, &[1], &records);
     assert!(
-        matches!(&heard[..], [ask::Event::Answered(a)] if a.ended == ended && a.id == Id(1)),
+        matches!(&heard[..], [client::Event::Answered(a)] if a.status == ended && a.id == RequestId(1)),
         "{heard:?}"
     );
-    assert!(!events.iter().any(|e| matches!(e, take::Event::Asked(_))));
+    assert!(!events.iter().any(|e| matches!(e, server::Event::Request(_))));
     // Then the id may be used again, for what can be taken.
     records.extend([rec(1, 1, &BEGIN), rec(4, 1, b""), rec(5, 1, b"")]);
     let (_, events) = said(bounds, &[1], &records);
-    assert_eq!(events.iter().any(|e| matches!(e, take::Event::Asked(_))), ended == Ended::UnknownRole);
+    assert_eq!(
+        events.iter().any(|e| matches!(e, server::Event::Request(_))),
+        ended == ProtocolStatus::UnknownRole
+    );
 }
 
 #[test]
@@ -316,22 +321,27 @@
         rec(1, 1, &BEGIN),
     ];
     let (heard, events) = said(BOUNDS, &[1], &half);
-    assert!(matches!(&heard[..], [ask::Event::Answered(_)]), "its end: {heard:?}");
+    assert!(matches!(&heard[..], [client::Event::Answered(_)]), "its end: {heard:?}");
     assert_eq!(events.len(), 1, "and the id was begun anew");
     let out = [rec(1, 1, &BEGIN), rec(4, 1, b""), rec(5, 1, b""), rec(2, 1, b"")];
     let (_, events) = said(BOUNDS, &[], &out);
-    assert!(matches!(&events[..], [take::Event::Asked(_), take::Event::Aborted(Id(1))]), "{events:?}");
+    assert!(
+        matches!(&events[..], [server::Event::Request(_), server::Event::Aborted(RequestId(1))]),
+        "{events:?}"
+    );
     let (_, events) = said(BOUNDS, &[], &[rec(2, 5, b"")]);
     assert!(events.is_empty(), "of one that is over already");
 }
 
 #[test]
 fn values_are_the_real_bounds_and_what_is_unknown_is_said_so() {
-    let mut ask = Vec::from(&ask::get_values()[..]);
+    let mut ask = Vec::from(&client::encode_get_values()[..]);
     ask.extend(rec(42, 0, b""));
     let (heard, _) = said(BOUNDS, &[], &[ask]);
-    let [ask::Event::Values(values), ask::Event::Unknown(42)] = &heard[..] else { panic!("{heard:?}") };
-    let value = |name: &str| values.iter().find(|v| v.0 == name.as_bytes()).map(|v| v.1.clone());
+    let [client::Event::Values(values), client::Event::UnknownType(42)] = &heard[..] else {
+        panic!("{heard:?}")
+    };
+    let value = |name: &str| values.iter().find(|v| v.name == name.as_bytes()).map(|v| v.value.clone());
     assert_eq!(value("FCGI_MAX_REQS").expect("told"), "8");
     assert_eq!(value("FCGI_MPXS_CONNS").expect("told"), "1");
 }
@@ -340,23 +350,23 @@
 fn params_and_heads_by_the_cgi_rules() {
     let headers =
         [("X-Trace-Id", &b"t"[..]), ("Content-Type", b"text/x"), ("Proxy", b"evil"), ("Host", b"h.example")];
-    let params = cgi::params("POST", "/pay/1?a=b", headers.into_iter(), 5);
-    let told = cgi::told(&params).expect("sound");
+    let params = cgi::request_params("POST", "/pay/1?a=b", headers.into_iter(), 5);
+    let request = cgi::parse_request(&params).expect("sound");
     assert_eq!(
-        (told.method.as_str(), told.path.as_str(), told.host.as_str()),
+        (request.method.as_str(), request.path.as_str(), request.host.as_str()),
         ("POST", "/pay/1?a=b", "h.example")
     );
-    let header = |name: &str| told.headers.iter().find(|h| h.0 == name).map(|h| h.1.clone());
+    let header = |name: &str| request.headers.iter().find(|h| h.0 == name).map(|h| h.1.clone());
     assert_eq!(header("x-trace-id").as_deref(), Some(&b"t"[..]));
     assert_eq!(header("content-type").as_deref(), Some(&b"text/x"[..]));
     assert_eq!(header("proxy"), None);
-    assert_eq!(cgi::told(&[]), Err("no REQUEST_METHOD"));
-    let read = |s: &'static str| cgi::answer(&Bytes::from_static(s.as_bytes()));
-    let (head, body) = read("Status: 404 Gone\r\nX-A: b \r\n\r\nbody").expect("sound");
-    assert_eq!((head.status, &body[..]), (404, &b"body"[..]));
-    assert_eq!(head.headers, [("x-a".to_owned(), Bytes::from_static(b"b"))]);
-    assert_eq!(read("Content-Type: a\n\nx").expect("sound").0.status, 200);
-    assert_eq!(read("Location: /x\n\n").expect("sound").0.status, 302);
+    assert_eq!(cgi::parse_request(&[]), Err(cgi::MissingParam::Method));
+    let read = |s: &'static str| cgi::parse_answer(&Bytes::from_static(s.as_bytes()));
+    let answer = read("Status: 404 Gone\r\nX-A: b \r\n\r\nbody").expect("sound");
+    assert_eq!((answer.status, &answer.body[..]), (404, &b"body"[..]));
+    assert_eq!(answer.headers, [("x-a".to_owned(), Bytes::from_static(b"b"))]);
+    assert_eq!(read("Content-Type: a\n\nx").expect("sound").status, 200);
+    assert_eq!(read("Location: /x\n\n").expect("sound").status, 302);
     for bad in [
         "",
         "\r\n\r\n",
@@ -372,11 +382,11 @@
 
 #[test]
 fn who_aborts_one_after_the_other_is_ended_at_a_bound() {
-    let (mut taker, mut events) = (Taker::new(BOUNDS), Vec::new());
+    let (mut server, mut events) = (ServerSide::new(BOUNDS), Vec::new());
     let ended = (1..1000u16).try_for_each(|id| {
-        taker.take(&rec(1, id, &BEGIN), &mut events)?;
-        taker.take(&rec(2, id, b""), &mut events)
+        server.receive(&rec(1, id, &BEGIN), &mut events)?;
+        server.receive(&rec(2, id, b""), &mut events)
     });
-    assert_eq!(ended, Err(Wrong::TooManyRequests(8)));
+    assert_eq!(ended, Err(ProtocolError::TooManyRequests(8)));
     assert_eq!(events.len(), 32);
 }
--- a/crates/fastcgi/tests/corpus.rs
+++ b/crates/fastcgi/tests/corpus.rs
@@ -2,38 +2,38 @@
 //! first line says, whatever the cut.
 use std::path::PathBuf;
 
-use notchspool_fastcgi::ask::{self, Asker};
-use notchspool_fastcgi::record::Id;
-use notchspool_fastcgi::take::{self, Bounds, Event, Taker};
+use notchspool_fastcgi::client::{self, ClientLimits, ClientSide};
+use notchspool_fastcgi::protocol::RequestId;
+use notchspool_fastcgi::server::{self, Event, ServerLimits, ServerSide};
 use rstest::rstest;
 
 fn taken(bytes: &[u8], piece: usize) -> String {
-    let mut taker = Taker::new(Bounds { requests: 4, params: 1000, body: 1000 });
+    let mut server = ServerSide::new(ServerLimits { requests: 4, params: 1000, body: 1000 });
     let mut events = Vec::new();
-    let ended = bytes.chunks(piece).try_for_each(|p| taker.take(p, &mut events));
+    let ended = bytes.chunks(piece).try_for_each(|p| server.receive(p, &mut events));
     let word = |event: &Event| match event {
-        take::Event::Asked(r) => {
+        server::Event::Request(r) => {
             format!("asked {} ({} params, {} bytes)", r.id.0, r.params.len(), r.body.len())
         }
-        take::Event::Aborted(id) => format!("aborted {}", id.0),
-        take::Event::Say(said) => format!("says {} bytes", said.len()),
-        take::Event::Close => "closes".into(),
+        server::Event::Aborted(id) => format!("aborted {}", id.0),
+        server::Event::Send(said) => format!("says {} bytes", said.len()),
+        server::Event::Close => "closes".into(),
     };
     told(events.iter().map(word).collect(), ended.err().map(|w| w.to_string()))
 }
 
 fn asked(bytes: &[u8], piece: usize) -> String {
-    let mut asker = Asker::new(ask::Bounds { body: 1000, stderr: 1000 });
-    asker.wait(Id(1));
+    let mut client = ClientSide::new(ClientLimits { stdout: 1000, stderr: 1000 });
+    client.expect_answer(RequestId(1));
     let mut events = Vec::new();
-    let ended = bytes.chunks(piece).try_for_each(|p| asker.take(p, &mut events));
-    let word = |event: &ask::Event| match event {
-        ask::Event::Begun(id) => format!("begun {}", id.0),
-        ask::Event::Answered(a) => {
-            format!("answered {} ({} bytes, whole {}, {:?})", a.id.0, a.stdout.len(), a.whole, a.ended)
+    let ended = bytes.chunks(piece).try_for_each(|p| client.receive(p, &mut events));
+    let word = |event: &client::Event| match event {
+        client::Event::Begun(id) => format!("begun {}", id.0),
+        client::Event::Answered(a) => {
+            format!("answered {} ({} bytes, whole {}, {:?})", a.id.0, a.stdout.len(), a.is_complete, a.status)
         }
-        ask::Event::Values(v) => format!("{} values", v.len()),
-        ask::Event::Unknown(kind) => format!("unknown {kind}"),
+        client::Event::Values(v) => format!("{} values", v.len()),
+        client::Event::UnknownType(kind) => format!("unknown {kind}"),
     };
     let mut words: Vec<String> = events.iter().map(word).collect();
     words.dedup();
--- a/crates/fleet-controller/src/settings.rs
+++ b/crates/fleet-controller/src/settings.rs
@@ -9,7 +9,7 @@
 use notchspool_consensus::Parameters;
 use notchspool_fleet_protocol::is_valid_name;
 use notchspool_leases::lease_table::LeasePolicy;
-use notchspool_settings::place::Mistake;
+use notchspool_settings::mistake::Mistake;
 use serde::Deserialize;
 use toml::Spanned;
 
--- a/crates/lab/src/plan/read.rs
+++ b/crates/lab/src/plan/read.rs
@@ -12,7 +12,7 @@
 use crate::core::kit::*;
 use crate::core::timetable::{Fault, Ill, Place, Who};
 use crate::plain::policy::Policy;
-use notchspool_settings::place::Mistake;
+use notchspool_settings::mistake::Mistake;
 
 #[derive(Clone, Debug)]
 pub struct Plan {
--- a/crates/lab/src/sockets/fcgi.rs
+++ b/crates/lab/src/sockets/fcgi.rs
@@ -8,10 +8,11 @@
 use bytes::{Bytes, BytesMut};
 use futures_util::future::LocalBoxFuture;
 use futures_util::stream::{FuturesUnordered, StreamExt};
-use notchspool_fastcgi::ask::{self, Asker};
-use notchspool_fastcgi::record::{Ended, Id, put_stream};
-use notchspool_fastcgi::take::{Bounds, Event, Request, Taker};
-use notchspool_fastcgi::{cgi, record};
+use notchspool_fastcgi::cgi;
+use notchspool_fastcgi::client::{self, ClientLimits, ClientSide};
+use notchspool_fastcgi::protocol::{ProtocolStatus, RecordType, RequestId};
+use notchspool_fastcgi::record::put_stream;
+use notchspool_fastcgi::server::{Event, Request, ServerLimits, ServerSide};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::{oneshot, watch};
@@ -35,10 +36,10 @@
     back: BackId,
     gate: watch::Receiver<Gate>,
     io: TcpStream,
-    taker: Taker,
+    server: ServerSide,
     /// What is in hand, by id.
-    out: BTreeMap<Id, (PostingId, Wanted)>,
-    waits: FuturesUnordered<LocalBoxFuture<'static, (Id, Option<Reply>)>>,
+    out: BTreeMap<RequestId, (PostingId, Wanted)>,
+    waits: FuturesUnordered<LocalBoxFuture<'static, (RequestId, Option<Reply>)>>,
 }
 
 /// Serves one connection of a backend till it ends.
@@ -54,9 +55,9 @@
     let gate = stage.gates[back.0][view].subscribe();
     let now = stage.now();
     stage.world.borrow_mut().fleet.linked(now, back);
-    let taker = Taker::new(Bounds { requests: at_once, params: 64 * 1024, body: 64 * 1024 });
+    let server = ServerSide::new(ServerLimits { requests: at_once, params: 64 * 1024, body: 64 * 1024 });
     let waits = FuturesUnordered::new();
-    let mut link = Link { stage, back, gate, io, taker, out: BTreeMap::new(), waits };
+    let mut link = Link { stage, back, gate, io, server, out: BTreeMap::new(), waits };
     let over = link.run(idle).await;
     let end = if matches!(over, Over::Closed) { End::GivenUp } else { End::Broken };
     for (posting, _) in std::mem::take(&mut link.out).into_values() {
@@ -120,33 +121,33 @@
 
     async fn take(&mut self, came: &[u8]) -> Result<(), Over> {
         let mut events = Vec::new();
-        let taken = self.taker.take(came, &mut events);
+        let taken = self.server.receive(came, &mut events);
         for event in events {
             match event {
-                Event::Asked(request) => self.asked(request).await?,
+                Event::Request(request) => self.asked(request).await?,
                 Event::Aborted(id) => {
                     if let Some((posting, _)) = self.out.remove(&id) {
                         self.stage.waiters.borrow_mut().remove(&posting);
                         self.over(posting, End::GivenUp);
                     }
-                    self.say(id, b"", Ended::Complete).await?;
+                    self.say(id, b"", ProtocolStatus::Complete).await?;
                 }
-                Event::Say(bytes) => self.io.write_all(&bytes).await.map_err(|_| Over::Closed)?,
+                Event::Send(bytes) => self.io.write_all(&bytes).await.map_err(|_| Over::Closed)?,
                 Event::Close => return Err(Over::Closed),
             }
         }
         taken.map_err(|_| Over::Closed)
     }
 
-    async fn say(&mut self, id: Id, stdout: &[u8], ended: Ended) -> Result<(), Over> {
-        match self.taker.answer(id, stdout, ended) {
-            Some((bytes, _)) => self.io.write_all(&bytes).await.map_err(|_| Over::Closed),
+    async fn say(&mut self, id: RequestId, stdout: &[u8], ended: ProtocolStatus) -> Result<(), Over> {
+        match self.server.answer(id, stdout, ended) {
+            Some(answered) => self.io.write_all(&answered.bytes).await.map_err(|_| Over::Closed),
             None => Ok(()),
         }
     }
 
     async fn asked(&mut self, request: Request) -> Result<(), Over> {
-        let told = cgi::told(&request.params).unwrap_or_default();
+        let told = cgi::parse_request(&request.params).unwrap_or_default();
         let trace = told
             .headers
             .iter()
@@ -155,8 +156,8 @@
         let wanted =
             trace.and_then(|t| txn_of(&t)).and_then(|txn| self.stage.wanted.borrow().get(&txn).copied());
         let Some(wanted) = wanted else {
-            let said = cgi::put_answer(404, std::iter::empty(), b"no such txn\n");
-            return self.say(request.id, &said, Ended::Complete).await;
+            let said = cgi::encode_answer(404, std::iter::empty(), b"no such txn\n");
+            return self.say(request.id, &said, ProtocolStatus::Complete).await;
         };
         let now = self.stage.now();
         let (posting, at_once) = {
@@ -180,7 +181,7 @@
         }
     }
 
-    async fn answer(&mut self, id: Id, reply: Reply, cut: bool) -> Result<(), Over> {
+    async fn answer(&mut self, id: RequestId, reply: Reply, cut: bool) -> Result<(), Over> {
         // A wait that ended for a request that was given up meanwhile.
         let Some(&(posting, wanted)) = self.out.get(&id) else { return Ok(()) };
         if cut || reply == Reply::Nothing {
@@ -194,14 +195,16 @@
         );
         let headers = [("Endpoint-Load-Metrics", report.as_bytes())];
         let body = body_of(wanted.txn);
-        let said = |status, body: &str| cgi::put_answer(status, headers.into_iter(), body.as_bytes());
+        let said = |status, body: &str| cgi::encode_answer(status, headers.into_iter(), body.as_bytes());
         let (sent, end) = match reply {
-            Reply::Settled => (self.say(id, &said(200, &body), Ended::Complete).await, End::Settled),
-            Reply::Errored => (self.say(id, &said(500, "failed\n"), Ended::Complete).await, End::Errored),
-            Reply::NeverRan => (self.say(id, b"", Ended::Overloaded).await, End::NeverRan),
+            Reply::Settled => (self.say(id, &said(200, &body), ProtocolStatus::Complete).await, End::Settled),
+            Reply::Errored => {
+                (self.say(id, &said(500, "failed\n"), ProtocolStatus::Complete).await, End::Errored)
+            }
+            Reply::NeverRan => (self.say(id, b"", ProtocolStatus::Overloaded).await, End::NeverRan),
             Reply::CutOff => {
                 let mut bytes = BytesMut::new();
-                put_stream(&mut bytes, record::Kind::Stdout, id, &said(200, &body));
+                put_stream(&mut bytes, RecordType::Stdout, id, &said(200, &body));
                 let _ = self.io.write_all(&bytes[..bytes.len() / 2]).await;
                 (Err(Over::Closed), End::Broken)
             }
@@ -237,34 +240,34 @@
         body: &[u8],
     ) -> io::Result<()> {
         let headers = headers.iter().map(|(n, v)| (*n, v.as_bytes()));
-        let params = cgi::params(method, path, headers, body.len());
-        self.io.write_all(&ask::request(Id(1), true, &params, body).bytes).await
+        let params = cgi::request_params(method, path, headers, body.len());
+        self.io.write_all(&client::encode_request(RequestId(1), true, &params, body).bytes).await
     }
 
     /// Head and body of the answer; an overload as the 503 that it stands for.
     pub async fn hear(&mut self) -> io::Result<(Head, Bytes)> {
         let bad = |what: &str| io::Error::new(io::ErrorKind::InvalidData, what.to_owned());
-        let mut asker = Asker::new(ask::Bounds { body: 128 * 1024, stderr: 4096 });
-        asker.wait(Id(1));
+        let mut client = ClientSide::new(ClientLimits { stdout: 128 * 1024, stderr: 4096 });
+        client.expect_answer(RequestId(1));
         loop {
             let mut came = BytesMut::with_capacity(4096);
             if self.io.read_buf(&mut came).await? == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
             let mut events = Vec::new();
-            asker.take(&came, &mut events).map_err(|why| bad(&why.to_string()))?;
+            client.receive(&came, &mut events).map_err(|why| bad(&why.to_string()))?;
             for event in events {
-                let ask::Event::Answered(answer) = event else { continue };
-                let read = cgi::answer(&answer.stdout);
-                let (head, body) = match read {
-                    None if answer.ended == Ended::Overloaded => {
+                let client::Event::Answered(answer) = event else { continue };
+                let read = cgi::parse_answer(&answer.stdout);
+                let parsed = match read {
+                    None if answer.status == ProtocolStatus::Overloaded => {
                         return Ok((Head { status: 503, ..Head::default() }, Bytes::new()));
                     }
                     read => read.ok_or_else(|| bad("no head"))?,
                 };
                 let text = |v: &Bytes| String::from_utf8_lossy(v).into_owned();
-                let headers = head.headers.iter().map(|(n, v)| (n.clone(), text(v))).collect();
-                return Ok((Head { status: head.status, headers, ..Head::default() }, body));
+                let headers = parsed.headers.iter().map(|(n, v)| (n.clone(), text(v))).collect();
+                return Ok((Head { status: parsed.status, headers, ..Head::default() }, parsed.body));
             }
         }
     }
--- a/crates/routes/benches/table.rs
+++ b/crates/routes/benches/route_table.rs
@@ -1,20 +1,27 @@
 //! What finding a route costs, by the number of routes: `cargo bench -p notchspool-routes`. Median of nine runs.
 use std::time::Instant;
 
-use notchspool_routes::table::{Asked, Host, Path, Rule, Segment, Table};
+use notchspool_routes::route_rule::{HostPattern, PathPattern, RequestHead, RouteRule, SegmentPattern};
+use notchspool_routes::route_table::RouteTable;
 
-fn rules(many: usize) -> Vec<Rule> {
-    let is = |s: &str| Segment::Is(s.to_owned());
+fn rules(many: usize) -> Vec<RouteRule> {
+    let is = |s: &str| SegmentPattern::Literal(s.to_owned());
     (0..many)
-        .map(|n| Rule {
-            host: if n % 2 == 0 { Host::Any } else { Host::Exact(format!("h{}.example", n % 50)) },
+        .map(|n| RouteRule {
+            host: if n % 2 == 0 {
+                HostPattern::Any
+            } else {
+                HostPattern::Exact(format!("h{}.example", n % 50))
+            },
             path: match n % 3 {
-                0 => Path::Below(format!("/service-{n}")),
-                1 => Path::Exact(format!("/service-{n}/state")),
-                _ => Path::Segments(vec![is("accounts"), Segment::Any, is(&format!("act-{n}"))]),
+                0 => PathPattern::Prefix(format!("/service-{n}")),
+                1 => PathPattern::Exact(format!("/service-{n}/state")),
+                _ => {
+                    PathPattern::Segments(vec![is("accounts"), SegmentPattern::Any, is(&format!("act-{n}"))])
+                }
             },
             methods: if n % 4 == 0 { vec!["POST".into()] } else { Vec::new() },
-            ..Rule::default()
+            ..RouteRule::default()
         })
         .collect()
 }
@@ -22,7 +29,7 @@
 fn main() {
     let headers = [("host", "h1.example"), ("x-customer", "acme"), ("content-length", "12")];
     for many in [1, 10, 100, 1_000, 10_000] {
-        let table = Table::new(rules(many));
+        let table = RouteTable::new(rules(many));
         let paths: Vec<(String, String)> = (0..1000)
             .map(|k| {
                 let n = k * 7919 % many.max(1);
@@ -36,7 +43,7 @@
             })
             .collect();
         let ask = |(host, path): &(String, String)| {
-            table.find(&Asked { listen: 0, host, path, method: "POST", headers: &headers })
+            table.find(&RequestHead { listener: 0, host, path, method: "POST", headers: &headers })
         };
         assert!(paths.iter().all(|p| ask(p).is_some()));
         let mut runs: Vec<f64> = (0..9)
--- a/crates/settings/src/place.rs
+++ b/crates/settings/src/mistake.rs
@@ -1,18 +1,27 @@
-//! Where in a file something is wrong: file, line, column and the word.
+//! A mistake in a file: where it is and what is wrong.
 use std::fmt;
 use std::ops::Range;
 
+/// One mistake, shown as `FILE:LINE:COLUMN: WORD: WHAT`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Mistake {
+    /// Name of the file.
     pub file: String,
+    /// Line, from 1.
     pub line: usize,
+    /// Column in bytes, from 1.
     pub column: usize,
+    /// The text that is wrong, or the start of it; empty for the file as a whole.
     pub word: String,
+    /// What is wrong.
     pub what: String,
 }
 
+/// The most of the wrong text that is shown, in characters.
+const MAX_WORD: usize = 60;
+
 impl Mistake {
-    /// Of a span of bytes in the text of a file; none: the file as a whole.
+    /// A mistake at a span of bytes in the text of a file; without a span in the file as a whole.
     pub fn at(file: &str, text: &str, span: Option<Range<usize>>, what: impl Into<String>) -> Mistake {
         let start = span.as_ref().map_or(0, |s| s.start).min(text.len());
         let end = span.as_ref().map_or(0, |s| s.end).clamp(start, text.len());
@@ -22,7 +31,7 @@
             file: file.to_owned(),
             line: before.matches('\n').count() + 1,
             column: before.len() - before.rfind('\n').map_or(0, |n| n + 1) + 1,
-            word: word.chars().take(60).collect(),
+            word: word.chars().take(MAX_WORD).collect(),
             what: what.into(),
         }
     }
