--- a/crates/agent/src/wire/fastcgi/front.rs
+++ b/crates/agent/src/front/fastcgi_front.rs
@@ -15,13 +15,13 @@
 use notchspool_fastcgi::server::{Event, Request, ServerLimits, ServerSide};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
+use super::routed_front::{IncomingRequest, Refusal, RoutedFront};
 use crate::base::limits::SMALL_BODY_BYTES;
 use crate::state::request::FinalAnswer;
 use crate::wire::client_connections::{ClientState, reason};
 use crate::wire::client_stream::ClientStream;
 use crate::wire::front_state::FrontState;
 use crate::wire::response::{HttpResponse, response};
-use crate::wire::routed_front::{IncomingRequest, Refusal, RoutedFront};
 
 /// Requests at once on a connection.
 const MAX_REQUESTS: usize = 32;
--- a/crates/agent/src/wire/platform_front.rs
+++ b/crates/agent/src/front/platform_front.rs
@@ -13,15 +13,15 @@
 use notchspool::units::{ClassId, Micros, RequestId, RequestKind, TenantId};
 use tokio::sync::oneshot;
 
-use super::client_connections::{ClientState, RequestHold};
-use super::front_state::{ANSWER_MARGIN, FrontState};
-use super::request_body::{RequestBody, pass_on, read_held};
-use super::response::{HttpResponse, plain, response};
 use crate::base::clock::to_duration;
 use crate::state::balancer_actor::{BalancerActor, BeginRequest, ClientLeft};
 use crate::state::body_budget::BodyBudget;
 use crate::state::body_stream::{BodySender, RemainingBody, body_stream};
 use crate::state::request::{AnswerRules, FinalAnswer, OutgoingRequest, UnservedFacts};
+use crate::wire::client_connections::{ClientState, RequestHold};
+use crate::wire::front_state::{ANSWER_MARGIN, FrontState};
+use crate::wire::request_body::{RequestBody, pass_on, read_held};
+use crate::wire::response::{HttpResponse, plain, response};
 
 /// What a request waits at most for its body to pass.
 const MAX_BODY_TIME: Micros = Micros::ms(600_000);
--- a/crates/agent/src/wire/routed_front.rs
+++ b/crates/agent/src/front/routed_front.rs
@@ -18,16 +18,16 @@
 use oorandom::Rand64;
 use tokio::sync::oneshot;
 
-use super::answer::is_connection_header;
-use super::client_connections::{ClientState, RequestHold};
-use super::front_state::{ANSWER_MARGIN, FrontState, RETRY_SOON};
-use super::request_body::read_small;
-use super::response::{HttpResponse, plain, response};
 use crate::routing::capacity::CapacityHold;
 use crate::routing::pool::Pool;
 use crate::routing::routes::{Route, RoutingTable};
 use crate::state::balancer_actor::{BeginRequest, ClientLeft};
 use crate::state::request::{AnswerRules, FinalAnswer, OutgoingRequest, RetryBudgets, UnservedFacts};
+use crate::wire::answer::is_connection_header;
+use crate::wire::client_connections::{ClientState, RequestHold};
+use crate::wire::front_state::{ANSWER_MARGIN, FrontState, RETRY_SOON};
+use crate::wire::request_body::read_small;
+use crate::wire::response::{HttpResponse, plain, response};
 
 /// `Retry-After` of a refusal for want of capacity, in seconds.
 const REFUSAL_RETRY_AFTER: &str = "0.050";
@@ -35,11 +35,17 @@
 
 /// Reason codes of refusals, which are counters too; `docs/failures.md` has them all.
 mod reason {
+    /// It is no request that can be served.
     pub const BAD_REQUEST: &str = "BAD_REQUEST";
+    /// No route matches it.
     pub const NO_ROUTE: &str = "NO_ROUTE";
+    /// The tenant has all requests in flight that it may have.
     pub const TENANT_FULL: &str = "TENANT_FULL";
+    /// The agent has all requests in flight that it may have.
     pub const AGENT_FULL: &str = "AGENT_FULL";
+    /// All shares of the route are nothing.
     pub const NO_POOL: &str = "NO_POOL";
+    /// The pool has all requests in flight that it may have.
     pub const POOL_FULL: &str = "POOL_FULL";
 }
 
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,12 +1,13 @@
 //! The agent: the decisions of `notchspool` on real sockets, beside one application.
 //!
 //! [`state`] has what the agent knows: the decision module, the requests in flight, the list; it knows no protocol. [`wire`] speaks the protocols and knows the
-//! state. [`routing`] builds pools and routes from an operator's file. [`process`] puts all together from what the agent is configured with. [`fleet`]
+//! state. [`routing`] builds pools and routes from an operator's file. [`front`] takes requests of clients to them. [`process`] puts all together from what the agent is configured with. [`fleet`]
 //! is a thread of its own for an agent that belongs to a fleet. [`base`] is below all.
 #![warn(missing_docs, clippy::missing_errors_doc)]
 
 pub mod base;
 pub mod fleet;
+pub mod front;
 pub mod process;
 pub mod routing;
 pub mod state;
--- a/crates/agent/src/process/ban_file.rs
+++ b/crates/agent/src/process/ban_file.rs
@@ -1,10 +1,10 @@
 //! The format of the file of bans.
 use std::collections::BTreeSet;
 
+use crate::state::bans::MAX_BANS;
+
 /// First line of the file. The last one is `end`: a file without it is torn.
 const FORMAT: &str = "notchspool bans 1";
-/// Bans at once.
-pub const MAX_BANS: usize = 4096;
 
 /// Why a text is no file of bans.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display, derive_more::Error)]
--- a/crates/agent/src/process/platform_agent.rs
+++ b/crates/agent/src/process/platform_agent.rs
@@ -18,6 +18,7 @@
 use super::signals;
 use crate::base::clock::{Clock, to_duration};
 use crate::base::stall_detector::StallDetector;
+use crate::front::platform_front::{FrontClass, PlatformFront};
 use crate::routing::pool::KEPT_IDLE_FRACTION;
 use crate::state::balancer_actor::{
     AdoptState, BalancerActor, BalancerContext, GetLearnedState, SetRegistry,
@@ -35,7 +36,6 @@
 use crate::wire::http_backend::{BackendContext, http_backends};
 use crate::wire::list_format;
 use crate::wire::management::Management;
-use crate::wire::platform_front::{FrontClass, PlatformFront};
 use crate::wire::registry_client::{ChangeAddress, RegistryClient};
 
 /// A process that runs before this one has left what it learned by then.
--- a/crates/agent/src/process/routed_agent.rs
+++ b/crates/agent/src/process/routed_agent.rs
@@ -22,6 +22,8 @@
 use crate::base::limits::SharedLimits;
 use crate::base::stall_detector::StallDetector;
 use crate::fleet;
+use crate::front::fastcgi_front::serve_fastcgi;
+use crate::front::routed_front::RoutedFront;
 use crate::routing::build::{RouteIds, build};
 use crate::routing::pool::PoolContext;
 use crate::state::balancer_actor::BalancerContext;
@@ -30,10 +32,8 @@
 use crate::state::request::RetryBudgets;
 use crate::wire::acceptor::{Acceptor, Listener, ServeConnection};
 use crate::wire::client_connections::ClientConnections;
-use crate::wire::fastcgi::front::serve_fastcgi;
 use crate::wire::front_state::FrontState;
 use crate::wire::management::Management;
-use crate::wire::routed_front::RoutedFront;
 
 /// Exit code of a start that is refused.
 const EXIT_REFUSED: u8 = 2;
--- a/crates/agent/src/process/shared_state.rs
+++ b/crates/agent/src/process/shared_state.rs
@@ -15,6 +15,7 @@
 use tokio::sync::{mpsc, oneshot};
 
 use super::ban_file;
+use crate::state::bans::{MAX_BANS, PersistError, PersistResult};
 
 /// How often the thread looks. What the other process was told binds this one so much later at the most.
 const LOOK_INTERVAL: Duration = Duration::from_millis(100);
@@ -46,25 +47,6 @@
     },
 }
 
-/// Why a change is in force and yet not persisted.
-#[derive(Debug, derive_more::Display, derive_more::Error)]
-pub enum PersistError {
-    /// There can't be more bans.
-    #[display("{} bans are all there can be", ban_file::MAX_BANS)]
-    TooMany,
-    /// The file can't be locked or written.
-    #[display("{}: {source}", path.display())]
-    Io {
-        /// The file.
-        path: PathBuf,
-        /// What the system says.
-        source: io::Error,
-    },
-}
-
-/// Whether a change is persisted. In force it is either way.
-pub type PersistResult = Result<(), PersistError>;
-
 enum Work {
     SetBan { id: String, banned: bool, done: oneshot::Sender<PersistResult> },
     LeaveState(String),
@@ -229,7 +211,7 @@
         let lock = self.path(CHANGE_LOCK).map(|path| wait_for_lock(&path));
         // What the other process changed meanwhile stays.
         self.read_bans();
-        if banned && self.bans.len() >= ban_file::MAX_BANS {
+        if banned && self.bans.len() >= MAX_BANS {
             return Err(PersistError::TooMany);
         }
         if banned {
--- a/crates/agent/src/state/bans.rs
+++ b/crates/agent/src/state/bans.rs
@@ -4,9 +4,33 @@
 //! Invariant: while a backend is banned the module is told of it as draining, with the start that it knew, or not told of it at all. A new start
 //! would begin a grace again; a removal would count for a mass removal.
 use std::collections::{BTreeMap, BTreeSet};
+use std::io;
+use std::path::PathBuf;
 
 use notchspool::units::{BackendId, EndpointStatus, ListEntry};
 
+/// Bans at once.
+pub const MAX_BANS: usize = 4096;
+
+/// Why a change is in force and yet not persisted.
+#[derive(Debug, derive_more::Display, derive_more::Error)]
+pub enum PersistError {
+    /// There can't be more bans.
+    #[display("{} bans are all there can be", MAX_BANS)]
+    TooMany,
+    /// The file can't be locked or written.
+    #[display("{}: {source}", path.display())]
+    Io {
+        /// The file.
+        path: PathBuf,
+        /// What the system says.
+        source: io::Error,
+    },
+}
+
+/// Whether a change is persisted. In force it is either way.
+pub type PersistResult = Result<(), PersistError>;
+
 /// The bans, and what they hide.
 #[derive(Debug, Default)]
 pub struct Bans {
--- a/crates/agent/src/wire/acceptor.rs
+++ b/crates/agent/src/wire/acceptor.rs
@@ -28,10 +28,15 @@
 
 /// Reason codes of connections that were not closed from here.
 mod reason {
+    /// It sent what is no request.
     pub const BAD_REQUEST: &str = "CALL_BAD_REQUEST";
+    /// The client closed it.
     pub const CLOSED: &str = "CALL_CLOSED";
+    /// It was reset.
     pub const RESET: &str = "CALL_RESET";
+    /// It sent what is no HTTP.
     pub const BROKEN_HTTP: &str = "CALL_BROKEN_HTTP";
+    /// Reading or writing failed.
     pub const FAILED: &str = "CALL_FAILED";
 }
 
--- a/crates/agent/src/wire/attempt.rs
+++ b/crates/agent/src/wire/attempt.rs
@@ -267,11 +267,17 @@
 
 /// How an answer that passes through ended: the reason codes in the log.
 mod stream_end {
+    /// All of it went on.
     pub const COMPLETE: &str = "FLOW_WHOLE";
+    /// The client left before its end.
     pub const CLIENT_LEFT: &str = "FLOW_LEFT";
+    /// It is over the limit for bodies.
     pub const TOO_LARGE: &str = "FLOW_TOO_LARGE";
+    /// It could not be read.
     pub const BROKEN: &str = "FLOW_BROKEN";
+    /// The backend closed the connection before its end.
     pub const CUT_SHORT: &str = "FLOW_CUT_SHORT";
+    /// Nothing came within the connect time-out.
     pub const STALLED: &str = "FLOW_STANDS_STILL";
 }
 
--- a/crates/agent/src/wire/fastcgi/mod.rs
+++ b/crates/agent/src/wire/fastcgi/mod.rs
@@ -1,4 +1,3 @@
-//! `FastCGI` on both sides: [`front`] takes requests of clients, [`connection`] is one connection to a server, [`backend`] the actor of a backend.
+//! Backends that speak `FastCGI`: [`connection`] is one connection to a server, [`backend`] the actor of a backend.
 pub mod backend;
 pub mod connection;
-pub mod front;
--- a/crates/agent/src/wire/management.rs
+++ b/crates/agent/src/wire/management.rs
@@ -13,7 +13,7 @@
 
 use super::front_state::FrontState;
 use super::management_command::{LINE_END_BYTES, MAX_LINE_BYTES, ManagementCommand};
-use crate::process::shared_state::PersistResult;
+use crate::state::bans::PersistResult;
 use crate::state::endpoint_list::{EndpointListActor, IsKnown};
 
 /// Connections at once; one more, and the oldest that has not finished its line is closed.
@@ -31,11 +31,17 @@
 
 /// Reason codes of connections in the log.
 mod reason {
+    /// Closed for a newer one, for want of room.
     pub const REPLACED: &str = "ORDER_MADE_WAY";
+    /// No whole line came in time.
     pub const SILENT: &str = "ORDER_SILENT";
+    /// It was reset.
     pub const RESET: &str = "ORDER_RESET";
+    /// It ended without a command.
     pub const EMPTY: &str = "ORDER_NONE";
+    /// It was answered.
     pub const ANSWERED: &str = "ORDER_ANSWERED";
+    /// What it sent is no command.
     pub const UNKNOWN: &str = "ORDER_SENSELESS";
 }
 
--- a/crates/agent/src/wire/mod.rs
+++ b/crates/agent/src/wire/mod.rs
@@ -1,7 +1,7 @@
 //! What is spoken: with clients, with backends, with discovery, with operators.
 //!
-//! Client side: [`acceptor`] accepts, [`client_stream`] is one connection and [`client_connections`] all of them; [`platform_front`] and
-//! [`routed_front`] take requests. Backend side: [`http_backend`] is the actor of one backend, [`attempt`] one sending to it,
+//! Client side: [`acceptor`] accepts, [`client_stream`] is one connection and [`client_connections`] all of them; [`crate::front`] takes
+//! requests from there. Backend side: [`http_backend`] is the actor of one backend, [`attempt`] one sending to it,
 //! [`backend_connection`] one connection. [`fastcgi`] speaks `FastCGI` on both sides.
 pub mod acceptor;
 pub mod answer;
@@ -21,8 +21,6 @@
 pub mod list_format;
 pub mod management;
 pub mod management_command;
-pub mod platform_front;
 pub mod registry_client;
 pub mod request_body;
 pub mod response;
-pub mod routed_front;
--- a/crates/settings/src/agent_file/checker.rs
+++ b/crates/settings/src/agent_file/checker.rs
@@ -19,6 +19,7 @@
 }
 
 impl<'a> Checker<'a> {
+    /// A checker without a mistake so far. `file` is the name to report, `text` what spans refer to.
     pub fn new(file: &'a str, text: &'a str) -> Checker<'a> {
         Checker { file, text, mistakes: Vec::new() }
     }
@@ -29,6 +30,7 @@
         self.mistakes
     }
 
+    /// Notes a mistake at a place of the file.
     pub fn mistake(&mut self, span: Range<usize>, what: impl Into<String>) {
         self.mistakes.push(Mistake::at(self.file, self.text, Some(span), what));
     }
@@ -86,6 +88,7 @@
         names
     }
 
+    /// An address with its port. A mistake is noted where the text is none.
     pub fn address(&mut self, text: &Spanned<String>) -> Option<SocketAddr> {
         let address = text.get_ref().parse().ok();
         if address.is_none() {
--- a/crates/settings/src/agent_file/classes.rs
+++ b/crates/settings/src/agent_file/classes.rs
@@ -9,6 +9,7 @@
 /// The longest times that a class may state, in milliseconds: an hour.
 const MAX_TIME_MS: f64 = 3_600_000.0;
 
+/// The classes of requests. Mistakes are noted in the checker.
 pub fn read(checker: &mut Checker, rows: &[Spanned<form::RequestClass>]) -> Vec<ClassConfig> {
     let names = checker.names("scheme", rows.iter().map(|row| &row.get_ref().name));
     let classes: Vec<ClassConfig> =
--- a/crates/settings/src/agent_file/fleet.rs
+++ b/crates/settings/src/agent_file/fleet.rs
@@ -17,6 +17,7 @@
     !text.is_empty() && text.len() <= MAX_NAME_BYTES && characters
 }
 
+/// The section `[fleet]`. Mistakes are noted in the checker; nothing where there was one that leaves no fleet to join.
 pub fn read(checker: &mut Checker, row: &form::Fleet, agent: &str, zone: &str) -> Option<Fleet> {
     if !is_valid_name(row.name.get_ref()) {
         let what = "the name of a fleet is 1 to 64 letters, digits, `-`, `_` and `.`";
--- a/crates/settings/src/agent_file/pools.rs
+++ b/crates/settings/src/agent_file/pools.rs
@@ -41,6 +41,7 @@
     }
 }
 
+/// The pools. Mistakes are noted in the checker.
 pub fn read(checker: &mut Checker, rows: &[Spanned<form::Pool>], context: &Context) -> Vec<Pool> {
     let names = checker.names("pool", rows.iter().map(|row| &row.get_ref().name));
     let mut taken = BTreeMap::new();
--- a/crates/settings/src/agent_file/routes.rs
+++ b/crates/settings/src/agent_file/routes.rs
@@ -24,6 +24,7 @@
     classes: Vec<String>,
 }
 
+/// The routes. Mistakes are noted in the checker.
 pub fn read(
     checker: &mut Checker,
     rows: &[Spanned<form::Route>],
