--- a/crates/fleet-controller/src/event_loop.rs
+++ b/crates/fleet-controller/src/event_loop.rs
@@ -12,7 +12,8 @@
 use tokio::time::sleep;
 
 use crate::line_connection;
-use crate::node::{ConnectionId, ControllerNode, NodeParts};
+use crate::messages::{ConnectionEvent, ConnectionId};
+use crate::node::{ControllerNode, NodeParts};
 use crate::voter::{OpenError, Voter, VoterConfig};
 use crate::voter_peers::{NumberedResponse, VoterPeerConfig};
 use crate::{ControllerSettings, StartOptions};
@@ -57,18 +58,6 @@
     AcceptEnded,
 }
 
-/// What happens on connections that others opened.
-pub enum ConnectionEvent {
-    /// It was accepted; lines are written to it through the channel.
-    Opened(ConnectionId, mpsc::Sender<String>),
-    /// A message came.
-    Received(ConnectionId, Box<Message>),
-    /// It is over.
-    Closed(ConnectionId),
-    /// A line was no message; the name of the counter for why.
-    Undecodable(&'static str),
-}
-
 /// Runs until SIGTERM.
 pub async fn run(settings: ControllerSettings, options: StartOptions) -> Result<(), StartError> {
     let started = Instant::now();
--- a/crates/fleet-controller/src/lib.rs
+++ b/crates/fleet-controller/src/lib.rs
@@ -8,8 +8,10 @@
 pub mod acceptor_store;
 mod event_loop;
 mod line_connection;
+mod messages;
 mod node;
 mod owner;
+mod owner_requests;
 pub mod pause_point;
 pub mod settings;
 mod voter;
--- a/crates/fleet-controller/src/node.rs
+++ b/crates/fleet-controller/src/node.rs
@@ -13,14 +13,12 @@
 use oorandom::Rand64;
 use tokio::sync::mpsc;
 
-use crate::event_loop::ConnectionEvent;
+use crate::messages::{ConnectionEvent, ConnectionId, JOB, ReplyTo};
 use crate::owner::{Owner, PendingEffect};
 use crate::voter::Voter;
 use crate::voter_peers::{NumberedResponse, VoterPeer};
 use crate::{ControllerSettings, PausePoint};
 
-/// The one job that there is so far.
-pub const JOB: &str = "orders";
 /// Commands whose deadlines are remembered; more than are kept.
 const MAX_DEADLINES: usize = 2_048;
 /// How often time passes for the commands.
@@ -35,19 +33,6 @@
 /// When to ask the next owner, who asked this one as it ceased to be.
 const RETRY_AFTER_LOSS_US: i64 = 100_000;
 
-/// A connection that another process opened.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct ConnectionId(pub u64);
-
-/// Where an answer goes.
-#[derive(Clone, Copy, Debug)]
-pub struct ReplyTo {
-    /// The connection.
-    pub connection: ConnectionId,
-    /// Number of the message that is answered.
-    pub number: u64,
-}
-
 /// The other voters.
 pub type VoterPeers = BTreeMap<VoterId, VoterPeer>;
 
