--- a/crates/cli/src/fleet/client.rs
+++ b/crates/cli/src/fleet/client.rs
@@ -12,7 +12,7 @@
 };
 
 use super::SubmitArgs;
-use super::output::{self, print_json};
+use super::output::{self, ControllerAnswer, print_json};
 use crate::EXIT_INCOMPLETE;
 
 /// Name of this client in messages.
@@ -26,9 +26,6 @@
 /// States after which something follows; see `state_name`.
 const OPEN_STATES: [&str; 3] = ["queued", "told", "unknown"];
 
-/// A controller's address, and what it says of itself or why it says nothing.
-pub type ControllerAnswer = (SocketAddr, Result<ControllerStatus, String>);
-
 /// An operator at the command line.
 pub struct Operator {
     client: FleetClient,
@@ -172,8 +169,10 @@
             self.ask(&Body::ReleaseOwnership)?;
         }
         let controllers = self.client.controllers.clone();
-        let answers: Vec<ControllerAnswer> =
-            controllers.into_iter().map(|controller| (controller, self.status(controller))).collect();
+        let answers: Vec<ControllerAnswer> = controllers
+            .into_iter()
+            .map(|address| ControllerAnswer { address, status: self.status(address) })
+            .collect();
         let has_owner = output::owner(&answers).is_some();
         if self.json {
             output::print_controllers_json(&answers);
--- a/crates/cli/src/fleet/output.rs
+++ b/crates/cli/src/fleet/output.rs
@@ -1,15 +1,14 @@
 //! Tables and lines for operators.
 use std::collections::BTreeMap;
+use std::net::SocketAddr;
 
 use notchspool_command_controller::state_name;
 use notchspool_commands::CommandKind;
 use notchspool_commands::command_log::CommandState;
 use notchspool_fleet_protocol::{CommandStatus, ControllerStatus, InstanceStatus, LeaseStatus};
 
-use super::client::ControllerAnswer;
-
-/// Times from here on are shown without a fraction, in microseconds.
-const WHOLE_SECONDS_FROM_US: i64 = 10_000_000;
+/// Times below this are shown with a fraction of a second, in microseconds.
+const FRACTIONS_BELOW_US: i64 = 10_000_000;
 
 /// One line of JSON.
 pub fn print_json<T: serde::Serialize>(value: &T) {
@@ -99,14 +98,22 @@
     }
 }
 
+/// What a controller answered.
+pub struct ControllerAnswer {
+    /// Its address.
+    pub address: SocketAddr,
+    /// What it says of itself, or why it says nothing.
+    pub status: Result<ControllerStatus, String>,
+}
+
 /// The controller that owns, if one says so.
 pub fn owner(answers: &[ControllerAnswer]) -> Option<&ControllerStatus> {
-    answers.iter().filter_map(|(_, answer)| answer.as_ref().ok()).find(|status| status.is_owner)
+    answers.iter().filter_map(|answer| answer.status.as_ref().ok()).find(|status| status.is_owner)
 }
 
 /// What each controller says, in JSON.
 pub fn print_controllers_json(answers: &[ControllerAnswer]) {
-    let row = |(address, answer): &ControllerAnswer| match answer {
+    let row = |ControllerAnswer { address, status }: &ControllerAnswer| match status {
         Ok(status) => serde_json::json!({"at": address.to_string(), "keeper": status}),
         Err(error) => serde_json::json!({"at": address.to_string(), "error": error}),
     };
@@ -116,8 +123,8 @@
 /// A table of controllers, and the owner.
 pub fn print_controllers(answers: &[ControllerAnswer]) {
     println!("{:<22} {:<12} {:<6} {:>9} {:>8} REFUSED", "KEEPER", "NAME", "VOTER", "INSTANCES", "WRITES");
-    for (address, answer) in answers {
-        match answer {
+    for ControllerAnswer { address, status } in answers {
+        match status {
             Ok(status) => {
                 let owns = if status.is_owner { " (owns)" } else { "" };
                 println!(
@@ -170,7 +177,7 @@
 fn span(us: Option<i64>) -> String {
     match us {
         None => "-".into(),
-        Some(us) if us < WHOLE_SECONDS_FROM_US => format!("{:.1} s", us as f64 / 1e6),
+        Some(us) if us < FRACTIONS_BELOW_US => format!("{:.1} s", us as f64 / 1e6),
         Some(us) => format!("{} s", us / 1_000_000),
     }
 }
--- a/crates/cli/src/scale.rs
+++ b/crates/cli/src/lab/scale.rs
@@ -10,8 +10,9 @@
 use notchspool_runtime::program::CheckedSettings;
 use notchspool_runtime::signals::Signals;
 
+/// Arguments of `lab scale`.
 #[derive(Args)]
-pub struct Scale {
+pub struct ScaleArgs {
     /// Hollow agents.
     #[arg(long, default_value_t = 100)]
     hollow: usize,
@@ -61,15 +62,17 @@
 }
 
 /// One replica or proxy, as its own program runs it.
-pub fn part(role: &str, file: PathBuf) -> Result<ExitCode, String> {
+pub fn run_part(role: &str, file: PathBuf) -> Result<ExitCode, String> {
     notchspool_runtime::init_logging(log::LevelFilter::Info);
-    let node = NodeSettings::read(&file).map_err(|e| e.to_string())?;
-    let at = |name: &str| node.listener(&file, name).map_err(|e| e.to_string());
-    let [outbound, readiness, control_plane] = [at("outbound")?, at("readiness")?, at("controlPlane")?];
+    let node = NodeSettings::read(&file).map_err(|error| error.to_string())?;
+    let listener = |name: &str| node.listener(&file, name).map_err(|error| error.to_string());
+    let [outbound, readiness, control_plane] =
+        [listener("outbound")?, listener("readiness")?, listener("controlPlane")?];
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let (runtime, local) = (runtime.map_err(|e| e.to_string())?, tokio::task::LocalSet::new());
+    let runtime = runtime.map_err(|error| error.to_string())?;
+    let local = tokio::task::LocalSet::new();
     let installed = runtime.block_on(async { Signals::install() });
-    let signals = installed.map_err(|e| e.to_string())?;
+    let signals = installed.map_err(|error| error.to_string())?;
     let ended = match role {
         "control-plane" => {
             let settings = CheckedSettings { node, file, listeners: control_plane };
@@ -82,40 +85,41 @@
         }
         _ => return Err(format!("no part `{role}`")),
     };
-    ended.map(|()| ExitCode::SUCCESS).map_err(|e| e.to_string())
+    ended.map(|()| ExitCode::SUCCESS).map_err(|error| error.to_string())
 }
 
-pub fn run(asked: &Scale) -> Result<ExitCode, String> {
-    let own = std::env::current_exe().map_err(|e| format!("where this program is: {e}"))?;
+/// Plays the plan and prints the sheet.
+pub fn run(args: &ScaleArgs) -> Result<ExitCode, String> {
+    let own = std::env::current_exe().map_err(|error| format!("where this program is: {error}"))?;
     let beside = own.parent().map(PathBuf::from);
-    let both = |at: &PathBuf| {
-        ["notchspool-control-plane", "notchspool-proxy"].iter().all(|program| at.join(program).is_file())
+    let has_both = |folder: &PathBuf| {
+        ["notchspool-control-plane", "notchspool-proxy"].iter().all(|program| folder.join(program).is_file())
     };
-    if let Some(at) = asked.programs.iter().find(|at| !both(at)) {
+    if let Some(folder) = args.programs.iter().find(|folder| !has_both(folder)) {
         return Err(format!(
             "{}: notchspool-control-plane and notchspool-proxy are not both there",
-            at.display()
+            folder.display()
         ));
     }
     let name = format!("notchspool-scale-{}", std::process::id());
     let plan = Plan {
-        programs: asked.programs.clone().or(beside).filter(both),
+        programs: args.programs.clone().or(beside).filter(has_both),
         own,
-        folder: asked.disks.clone().unwrap_or_else(std::env::temp_dir).join(name),
-        seed: asked.seed,
-        replicas: asked.replicas,
-        proxies: asked.proxies,
-        hollow: asked.hollow,
-        threads: asked.threads,
-        services: asked.services,
-        routes: asked.routes,
-        ramp: Duration::from_millis(asked.ramp_ms.unwrap_or((asked.hollow as u64).max(1_000))),
-        settle: Duration::from_secs(asked.settle_s),
-        span: Duration::from_secs(asked.span_s),
-        words: asked.words,
-        drains: asked.drains,
-        changes: asked.changes,
-        claims: asked.claims,
+        folder: args.disks.clone().unwrap_or_else(std::env::temp_dir).join(name),
+        seed: args.seed,
+        replicas: args.replicas,
+        proxies: args.proxies,
+        hollow: args.hollow,
+        threads: args.threads,
+        services: args.services,
+        routes: args.routes,
+        ramp: Duration::from_millis(args.ramp_ms.unwrap_or((args.hollow as u64).max(1_000))),
+        settle: Duration::from_secs(args.settle_s),
+        span: Duration::from_secs(args.span_s),
+        words: args.words,
+        drains: args.drains,
+        changes: args.changes,
+        claims: args.claims,
     };
     let sheet = play::play(&plan, |line| eprintln!("{line}"))?;
     print!("{}", sheet.table());
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,9 +1,7 @@
 //! The command line `notchspool`: arguments and output, no logic of its own.
 mod controller;
 mod fleet;
-mod fleet_lab;
 mod lab;
-mod scale;
 mod service;
 
 use std::path::PathBuf;
@@ -35,13 +33,14 @@
     Check { file: PathBuf },
     /// Says which route, pool and scheme a request would take, and why not the earlier ones.
     Explain(service::ExplainArgs),
-    /// Runs a keeper as its file says; SIGTERM lets go of what it owns and ends it.
-    Keeper(controller::ControllerArgs),
-    /// Lists, questions and orders the instances of a fleet, at whichever keeper owns.
+    /// Runs a fleet controller as its file says; SIGTERM lets go of what it owns and ends it.
+    #[command(name = "keeper")]
+    Controller(controller::ControllerArgs),
+    /// Lists, questions and orders the instances of a fleet, at whichever controller owns.
     Fleet(fleet::FleetArgs),
     /// Fleets on sockets, load, faults, an auditor and reports.
     #[command(subcommand)]
-    Lab(lab::Lab),
+    Lab(lab::LabCommand),
 }
 
 fn main() -> ExitCode {
@@ -49,9 +48,9 @@
         Command::Run { file } => Ok(service::run(file)),
         Command::Check { file } => Ok(service::check(&file)),
         Command::Explain(args) => service::explain(&args),
-        Command::Keeper(args) => Ok(controller::run(args)),
+        Command::Controller(args) => Ok(controller::run(args)),
         Command::Fleet(args) => fleet::run(args),
-        Command::Lab(lab) => lab::run(lab),
+        Command::Lab(command) => lab::run(command),
     };
     result.unwrap_or_else(|error| {
         eprintln!("notchspool: {error}");
