--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -1,13 +1,17 @@
-//! A rolling change in stages. A plan says what changes at whom; stages follow one another; each is judged by those that changed
-//! against those that did not, at the same time, and against the time before; on *worse* all that changed goes back, last changed
-//! first. No I/O: evidence and time are handed in, steps come back as values, and the whole course can be written down and read
-//! again by another owner.
+//! A rolling change in stages. A [`plan`] says what changes at which agents; stages follow one another; each is evaluated ([`evaluator`]) by agents that
+//! changed against those that did not, at the same time, and against the time before. Where a stage regresses, all that changed goes back,
+//! last changed first ([`rollout`]). No I/O: counts and time are handed in, steps come back as values, and the whole rollout can be written down
+//! and read again by another owner.
 //!
-//! Held always (`tests/course.rs`): no step is given out before the course that allows it can be written; nobody is changed while a
-//! verdict is open or after one of *worse*; never more than the stated part of a zone is in the middle of a change at once; an agent that
-//! was away is brought to where the plan is now; whoever can't be brought back is named, and tried a stated number of times.
-pub mod course;
-pub mod evidence;
+//! Invariants (`tests/rollout.rs`): no step is given out before the rollout that allows it can be written; no agent is changed while a verdict is
+//! open or after a regression; never more than the stated part of a zone is in the middle of a change at once; an agent that was away is
+//! brought to where the rollout is now; an agent that can't be brought back is named, and tried a stated number of times.
+#![warn(missing_docs, clippy::missing_errors_doc)]
+
+pub mod confidence_sequence;
+pub mod counts;
+pub mod evaluator;
+pub mod measure;
+pub mod phase;
 pub mod plan;
-pub mod sequence;
-pub mod verdict;
+pub mod rollout;
--- a/crates/rollout/tests/course.rs
+++ b/crates/rollout/tests/rollout.rs
@@ -1,19 +1,21 @@
-//! Courses with agents that answer, fail, are away and come back; and whole rollouts with drawn traffic, sound and bad ones, under
+//! Rollouts with agents that answer, fail, are away and come back; and whole ones with drawn traffic, sound and bad ones, under
 //! faults that strike all alike. What each has to find is stated; `NOTCHSPOOL_ROLLOUTS` plays more than CI does.
 use std::collections::{BTreeMap, BTreeSet};
 
 use notchspool::units::Micros;
-use notchspool_rollout::course::{At, Course, Phase};
-use notchspool_rollout::evidence::{BUCKETS, Counts, bucket};
-use notchspool_rollout::plan::{Plan, What};
-use notchspool_rollout::verdict::{Side, Verdict, Window};
+use notchspool_rollout::counts::{BUCKETS, Counts, bucket};
+use notchspool_rollout::evaluator::Verdict;
+use notchspool_rollout::measure::{GroupCounts, Stratum, Window};
+use notchspool_rollout::phase::{Phase, Version};
+use notchspool_rollout::plan::{self, Plan};
+use notchspool_rollout::rollout::Rollout;
 use oorandom::Rand64;
 use rstest::rstest;
 
 const SECOND: Micros = Micros::ms(1_000);
 
 fn plan() -> Plan {
-    Plan::new("v2", What::Terms { digest: "0".repeat(64) })
+    Plan::new("v2", plan::Change::Settings { digest: "0".repeat(64) })
 }
 fn agents(n: usize) -> BTreeMap<String, String> {
     (0..n).map(|n| (format!("a{n:02}"), format!("z{}", n % 4))).collect()
@@ -22,13 +24,13 @@
 /// What a change does to an agent that has it, and what happens to all.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct Change {
-    declines: f64,
+    refusals: f64,
     slower: f64,
-    /// In one scheme, or in one zone, only.
-    scheme: Option<usize>,
+    /// In one request class, or in one zone, only.
+    class: Option<usize>,
     zone: Option<usize>,
-    effort: f64,
-    /// It makes the others' txns fail by the part that has changed.
+    extra_attempts: f64,
+    /// It makes the others' requests fail by the part that has changed.
     crowds: f64,
     refuses: bool,
     breaks_rule: bool,
@@ -42,20 +44,20 @@
     Burst,
     Shift,
     AgentsKilled,
-    Unheard,
+    ReportsMissing,
 }
 
 struct Fleet {
     chance: Rand64,
-    course: Course,
+    rollout: Rollout,
     rates: Vec<f64>,
     second: u64,
-    /// Txns of all, and those that the change harmed.
+    /// Requests of all, and those that the change harmed.
     all: f64,
     harmed: f64,
 }
 
-const SCHEMES: [&str; 3] = ["look", "move", "pay"];
+const CLASSES: [&str; 3] = ["look", "move", "pay"];
 
 impl Fleet {
     fn new(n: usize, seed: u64) -> Fleet {
@@ -64,7 +66,7 @@
         let rates = (0..n).map(|_| 10.0 + 90.0 * chance.rand_float().powi(2)).collect();
         Fleet {
             chance,
-            course: Course::begin(plan(), &agents(n)).expect("a plan"),
+            rollout: Rollout::new(plan(), &agents(n)).expect("a plan"),
             rates,
             second: 0,
             all: 0.0,
@@ -81,16 +83,16 @@
         // A whole fleet has good and bad seconds, and so has a zone.
         let weather = 0.004 * self.chance.rand_float();
         let zones: Vec<f64> = (0..4).map(|_| weather + 0.004 * self.chance.rand_float()).collect();
-        let names: Vec<String> = self.course.agents.keys().cloned().collect();
-        let new =
-            names.iter().filter(|n| self.course.agents[*n].at == At::New).count() as f64 / names.len() as f64;
+        let names: Vec<String> = self.rollout.agents.keys().cloned().collect();
+        let new = names.iter().filter(|n| self.rollout.agents[*n].version == Version::New).count() as f64
+            / names.len() as f64;
         let mut window =
-            Window { unheard: if fault == Fault::Unheard { 0.5 } else { 0.0 }, ..Window::default() };
+            Window { missing: if fault == Fault::ReportsMissing { 0.5 } else { 0.0 }, ..Window::default() };
         if change.breaks_rule && new > 0.0 {
-            window.at_once = Some("a once-only txn was posted twice".into());
+            window.violation = Some("a non-idempotent request was sent twice".into());
         }
         for (n, name) in names.iter().enumerate() {
-            let (zone, changed) = (n % 4, self.course.agents[name].at == At::New);
+            let (zone, changed) = (n % 4, self.rollout.agents[name].version == Version::New);
             if fault == Fault::AgentsKilled && n < 3 {
                 continue;
             }
@@ -101,12 +103,12 @@
                 Fault::Shift => 1.3,
                 _ => 1.0,
             };
-            for (s, scheme) in SCHEMES.iter().enumerate() {
+            for (index, class) in CLASSES.iter().enumerate() {
                 let all = (rate / 3.0).max(1.0);
                 let hit = changed
-                    && change.scheme.is_none_or(|of| of == s)
+                    && change.class.is_none_or(|of| of == index)
                     && change.zone.is_none_or(|of| of == zone);
-                let own = if hit { change.declines } else { 0.0 };
+                let own = if hit { change.refusals } else { 0.0 };
                 let crowd = change.crowds * new;
                 let common = zones[zone]
                     + match fault {
@@ -118,47 +120,52 @@
                 let failed = self.draw(all, (common + own + crowd).min(1.0));
                 self.all += all;
                 self.harmed += all * (own + crowd);
-                let mut counts = Counts { all: all as u64, times: vec![0; BUCKETS], ..Counts::default() };
-                counts.declined = failed.min(counts.all);
-                counts.good = counts.all - counts.declined;
-                counts.postings = counts.all + self.draw(all, 0.02 + if hit { change.effort } else { 0.0 });
+                let mut counts = Counts { all: all as u64, latencies: vec![0; BUCKETS], ..Counts::default() };
+                counts.refused = failed.min(counts.all);
+                counts.good = counts.all - counts.refused;
+                counts.attempts =
+                    counts.all + self.draw(all, 0.02 + if hit { change.extra_attempts } else { 0.0 });
                 for _ in 0..counts.good {
                     // Skewed, as response times are.
                     let ms = 20.0
                         * (1.0 + 3.0 * self.chance.rand_float().powi(6))
                         * (0.7 + 0.6 * self.chance.rand_float());
                     let ms = if hit { ms * (1.0 + change.slower) } else { ms };
-                    counts.times[bucket(ms)] += 1;
+                    counts.latencies[bucket(ms)] += 1;
                 }
-                let side: &mut Side = if changed { &mut window.changed } else { &mut window.unchanged };
-                side.entry(((*scheme).to_owned(), format!("z{zone}"))).or_default().add(&counts);
+                let group: &mut GroupCounts =
+                    if changed { &mut window.changed } else { &mut window.unchanged };
+                group
+                    .entry(Stratum { class: (*class).to_owned(), zone: format!("z{zone}") })
+                    .or_default()
+                    .add(&counts);
             }
         }
-        self.course.window(&window, SECOND);
+        self.rollout.on_window(&window, SECOND);
         // Written down and read again, as by the next owner, before any step is given out.
-        let heard: BTreeSet<String> = names.iter().cloned().collect();
-        let steps = self.course.steps(&heard);
-        let text = serde_json::to_string(&self.course).expect("written");
-        self.course = serde_json::from_str(&text).expect("read");
+        let connected: BTreeSet<String> = names.iter().cloned().collect();
+        let steps = self.rollout.next_steps(&connected);
+        let text = serde_json::to_string(&self.rollout).expect("written");
+        self.rollout = serde_json::from_str(&text).expect("read");
         for step in steps {
-            if change.refuses && step.to == At::New {
-                self.course.failed(&step.agent, "the new one ended at its start");
+            if change.refuses && step.target == Version::New {
+                self.rollout.on_failure(&step.agent, "the new one ended at its start");
             } else {
-                self.course.is(&step.agent, step.to);
+                self.rollout.on_version(&step.agent, step.target);
             }
         }
     }
     fn run(mut self, change: Change, fault: Fault, at: u64) -> Fleet {
-        while self.second < 900 && !self.course.phase.is_over() {
+        while self.second < 900 && !self.rollout.phase.is_over() {
             self.second(change, fault, at);
         }
         self
     }
-    fn blamed(&self) -> bool {
-        matches!(self.course.phase, Phase::TakenBack { .. } | Phase::Back { .. })
+    fn was_rolled_back(&self) -> bool {
+        matches!(self.rollout.phase, Phase::RolledBack { .. } | Phase::RollingBack { .. })
     }
     fn stage(&self) -> usize {
-        self.course.verdicts.iter().map(|v| v.0).max().unwrap_or(0)
+        self.rollout.verdicts.iter().map(|v| v.0).max().unwrap_or(0)
     }
 }
 
@@ -173,13 +180,13 @@
 #[case(Fault::Burst)]
 #[case(Fault::Shift)]
 #[case(Fault::AgentsKilled)]
-#[case(Fault::Unheard)]
+#[case(Fault::ReportsMissing)]
 fn a_sound_change_is_not_blamed_for_what_strikes_all(#[case] fault: Fault) {
     let (n, mut blamed, mut done) = (rollouts(12), 0, 0);
     for seed in 0..n {
         let fleet = Fleet::new(40, seed).run(Change::default(), fault, 15 + seed % 50);
-        blamed += u64::from(fleet.blamed());
-        done += u64::from(fleet.course.phase == Phase::Done);
+        blamed += u64::from(fleet.was_rolled_back());
+        done += u64::from(fleet.rollout.phase == Phase::Done);
     }
     println!("{fault:?}: {blamed} of {n} blamed, {done} went through");
     assert!(blamed * 100 <= n, "{blamed} of {n}");
@@ -187,20 +194,20 @@
 }
 
 #[rstest]
-#[case::declines(Change { declines: 0.02, ..Change::default() })]
+#[case::refusals(Change { refusals: 0.02, ..Change::default() })]
 #[case::slower(Change { slower: 0.3, ..Change::default() })]
-#[case::one_scheme(Change { declines: 0.06, scheme: Some(1), ..Change::default() })]
-#[case::effort(Change { effort: 0.3, ..Change::default() })]
+#[case::one_class(Change { refusals: 0.06, class: Some(1), ..Change::default() })]
+#[case::extra_attempts(Change { extra_attempts: 0.3, ..Change::default() })]
 #[case::refuses(Change { refuses: true, ..Change::default() })]
 #[case::breaks_a_rule(Change { breaks_rule: true, ..Change::default() })]
 fn a_bad_change_is_found_before_a_quarter_has_it(#[case] change: Change) {
     let (n, mut found, mut harm) = (rollouts(12), 0, Vec::new());
     for seed in 0..n {
         let fleet = Fleet::new(40, seed).run(change, Fault::Nothing, 0);
-        found += u64::from(fleet.blamed() && fleet.stage() < 2);
+        found += u64::from(fleet.was_rolled_back() && fleet.stage() < 2);
         harm.push(fleet.harmed / fleet.all);
         assert!(
-            fleet.course.agents.values().all(|a| a.at == At::Old) || !fleet.blamed(),
+            fleet.rollout.agents.values().all(|a| a.version == Version::Old) || !fleet.was_rolled_back(),
             "everything is back"
         );
     }
@@ -218,90 +225,90 @@
     let change = Change { crowds: 0.6, ..Change::default() };
     let fleet = Fleet::new(40, 3).run(change, Fault::Nothing, 0);
     assert!(
-        matches!(fleet.course.phase, Phase::Held { .. } | Phase::TakenBack { .. }),
+        matches!(fleet.rollout.phase, Phase::Held { .. } | Phase::RolledBack { .. }),
         "{:?}",
-        fleet.course.phase
+        fleet.rollout.phase
     );
-    assert!(fleet.stage() <= 2, "{:?}", fleet.course.verdicts);
+    assert!(fleet.stage() <= 2, "{:?}", fleet.rollout.verdicts);
 }
 
 #[test]
 fn who_was_away_is_brought_to_where_the_plan_is_now_and_who_is_stuck_is_named() {
-    let mut course = Course::begin(plan(), &agents(8)).expect("a plan");
-    course.phase = Phase::Changing(3);
-    let all: BTreeSet<String> = course.agents.keys().cloned().collect();
+    let mut rollout = Rollout::new(plan(), &agents(8)).expect("a plan");
+    rollout.phase = Phase::Changing(3);
+    let all: BTreeSet<String> = rollout.agents.keys().cloned().collect();
     let but: BTreeSet<String> = all.iter().filter(|n| *n != "a07").cloned().collect();
     for _ in 0..10 {
-        for step in course.steps(&but) {
-            course.is(&step.agent, step.to);
+        for step in rollout.next_steps(&but) {
+            rollout.on_version(&step.agent, step.target);
         }
     }
-    assert_eq!(course.agents["a07"].at, At::Old);
-    course.abort("op").expect("back");
+    assert_eq!(rollout.agents["a07"].version, Version::Old);
+    rollout.abort("op").expect("back");
     // It missed all of it, and has nothing to do.
     for _ in 0..10 {
-        for step in course.steps(&all) {
+        for step in rollout.next_steps(&all) {
             assert_ne!(step.agent, "a07");
             if step.agent == "a03" {
-                course.failed("a03", "the old one is gone from the disk");
+                rollout.on_failure("a03", "the old one is gone from the disk");
             } else {
-                course.is(&step.agent, step.to);
+                rollout.on_version(&step.agent, step.target);
             }
         }
     }
-    assert_eq!(course.phase, Phase::TakenBack { why: "by op".into(), stuck: vec!["a03".into()] });
-    assert_eq!(course.steps(&all), [], "never tried without end");
+    assert_eq!(rollout.phase, Phase::RolledBack { reason: "by op".into(), stuck: vec!["a03".into()] });
+    assert_eq!(rollout.next_steps(&all), [], "never tried without end");
 }
 
 #[test]
 fn back_goes_the_last_changed_first_and_no_more_of_a_zone_at_once_than_stated() {
-    let mut course = Course::begin(plan(), &agents(16)).expect("a plan");
-    course.phase = Phase::Changing(3);
-    let all: BTreeSet<String> = course.agents.keys().cloned().collect();
+    let mut rollout = Rollout::new(plan(), &agents(16)).expect("a plan");
+    rollout.phase = Phase::Changing(3);
+    let all: BTreeSet<String> = rollout.agents.keys().cloned().collect();
     let mut order = Vec::new();
     for _ in 0..16 {
-        let steps = course.steps(&all);
-        let zones: Vec<&String> = steps.iter().map(|s| &course.agents[&s.agent].zone).collect();
+        let steps = rollout.next_steps(&all);
+        let zones: Vec<&String> = steps.iter().map(|s| &rollout.agents[&s.agent].zone).collect();
         assert_eq!(zones.iter().collect::<BTreeSet<_>>().len(), zones.len(), "one of four at once");
         for step in steps {
             order.push(step.agent.clone());
-            course.is(&step.agent, step.to);
+            rollout.on_version(&step.agent, step.target);
         }
     }
-    course.abort("op").expect("back");
+    rollout.abort("op").expect("back");
     let mut back = Vec::new();
     for _ in 0..16 {
-        for step in course.steps(&all) {
+        for step in rollout.next_steps(&all) {
             back.push(step.agent.clone());
-            course.is(&step.agent, step.to);
+            rollout.on_version(&step.agent, step.target);
         }
     }
     let last: Vec<&String> = order.iter().rev().take(4).collect();
     assert!(back.iter().take(4).all(|n| last.contains(&n)), "{back:?}");
-    assert!(matches!(course.phase, Phase::TakenBack { .. }));
+    assert!(matches!(rollout.phase, Phase::RolledBack { .. }));
 }
 
 #[rstest]
-#[case::before(Phase::Before)]
+#[case::before(Phase::Baseline)]
 #[case::changing(Phase::Changing(1))]
-#[case::judging(Phase::Judging(1))]
-#[case::held(Phase::Held { stage: 1, why: String::new() })]
+#[case::judging(Phase::Evaluating(1))]
+#[case::held(Phase::Held { stage: 1, reason: String::new() })]
 #[case::paused(Phase::Paused { stage: 1 })]
 #[case::done(Phase::Done)]
 fn it_can_be_aborted_in_every_state(#[case] phase: Phase) {
-    let mut course = Course::begin(plan(), &agents(8)).expect("a plan");
-    course.phase = phase;
-    course.is("a00", At::New);
-    course.abort("op").expect("aborted");
-    assert!(matches!(course.phase, Phase::Back { .. } | Phase::TakenBack { .. }));
-    let all = course.agents.keys().cloned().collect();
-    for step in course.steps(&all) {
-        assert_eq!(step.to, At::Old);
-        course.is(&step.agent, step.to);
+    let mut rollout = Rollout::new(plan(), &agents(8)).expect("a plan");
+    rollout.phase = phase;
+    rollout.on_version("a00", Version::New);
+    rollout.abort("op").expect("aborted");
+    assert!(matches!(rollout.phase, Phase::RollingBack { .. } | Phase::RolledBack { .. }));
+    let all = rollout.agents.keys().cloned().collect();
+    for step in rollout.next_steps(&all) {
+        assert_eq!(step.target, Version::Old);
+        rollout.on_version(&step.agent, step.target);
     }
-    assert!(course.phase.is_over() && course.abort("op").is_err());
+    assert!(rollout.phase.is_over() && rollout.abort("op").is_err());
     assert!(
-        course.verdicts.iter().all(|v| !matches!(v.1, Verdict::Worse(_))),
+        rollout.verdicts.iter().all(|v| !matches!(v.1, Verdict::Regressed(_))),
         "nobody is blamed for an operator's word"
     );
 }
