--- a/crates/cli/tests/abuse.rs
+++ b/crates/cli/tests/abuse.rs
@@ -14,7 +14,7 @@
 use rstest::rstest;
 use standins::*;
 
-const SLA: Duration = Duration::from_millis(500);
+const LATENCY_TARGET: Duration = Duration::from_millis(500);
 const PHASE: Duration = Duration::from_millis(1200);
 /// One at a time: what they measure is each other's too.
 static TURN: Mutex<()> = Mutex::new(());
@@ -60,15 +60,15 @@
         serde_json::json!({"id": format!("s{n}"), "host_port": s.at.to_string(), "locality": "a", "cell": 1,
                            "phase": "in_service", "size": 4.0, "up_since_ms": 0})
     };
-    let scheme = |name: &str, repeat: &str| serde_json::json!({"name": name, "repeat": repeat, "slaTimeMs": 500.0, "expiryMs": 1500.0});
-    let told = serde_json::json!({
+    let class = |name: &str, repeat: &str| serde_json::json!({"name": name, "repeat": repeat, "slaTimeMs": 500.0, "expiryMs": 1500.0});
+    let config = serde_json::json!({
         "name": "n0", "listen": at.to_string(), "discovery": "127.0.0.1:9", "seed": "1",
         "limits": {"cores": 1.0, "memory_mb": 32, "sockets": 256},
         "known": {"revision": 1, "complete": true, "members": stands.iter().enumerate().map(member).collect::<Vec<_>>()},
         "settings": {"myZone": "a", "zones": ["a"],
             "permissions": {"retryAfter": true, "maxRetryAfterMs": 1500.0, "maxPostings": 3, "cancel": true},
-            "schemes": [scheme("look", "safe"), scheme("large", "safe"), scheme("pay", "unsafe"), scheme("hang", "unsafe")]}});
-    std::fs::write(folder.join("config.json"), told.to_string()).expect("written");
+            "schemes": [class("look", "safe"), class("large", "safe"), class("pay", "unsafe"), class("hang", "unsafe")]}});
+    std::fs::write(folder.join("config.json"), config.to_string()).expect("written");
     let agent = std::path::PathBuf::from(env!("CARGO_BIN_EXE_notchspool")).with_file_name("notchspool-agent");
     let log = std::fs::File::create(folder.join("log")).expect("a log");
     let child = Command::new(agent)
@@ -211,9 +211,9 @@
         let mut kept: Option<std::io::BufReader<TcpStream>> = None;
         while self.goes_on() {
             let began = Instant::now();
-            let said = request("GET", "/look", &self.id('g'), 0);
+            let bytes = request("GET", "/look", &self.id('g'), 0);
             // One on a kept connection that ends before a byte of an answer goes once more on a new one.
-            let heard = [true, false].into_iter().find_map(|again| {
+            let response = [true, false].into_iter().find_map(|again| {
                 if kept.is_none() || !again {
                     kept = None;
                     let io = TcpStream::connect_timeout(&self.at, Duration::from_secs(2)).ok()?;
@@ -221,16 +221,17 @@
                     kept = Some(std::io::BufReader::new(io));
                 }
                 let wire = kept.as_mut()?;
-                wire.get_mut().write_all(said.as_bytes()).ok()?;
+                wire.get_mut().write_all(bytes.as_bytes()).ok()?;
                 message(wire, false)
             });
-            if heard.is_none() {
+            if response.is_none() {
                 kept = None;
             }
             let mut seen = seen.lock().expect("seen");
-            let fine = heard.as_ref().is_some_and(|m| m.first.contains(" 200 ")) && began.elapsed() < SLA;
+            let fine = response.as_ref().is_some_and(|m| m.first.contains(" 200 "))
+                && began.elapsed() < LATENCY_TARGET;
             seen[0] += usize::from(fine);
-            seen[1] += usize::from(heard.is_some());
+            seen[1] += usize::from(response.is_some());
             seen[2] += 1;
             drop(seen);
             std::thread::sleep(Duration::from_millis(15));
@@ -260,16 +261,16 @@
         std::thread::sleep(PHASE);
         over.store(true, Ordering::Relaxed);
     });
-    let [fine, answered, asked] = *seen.lock().expect("seen");
+    let [fine, answered, sent] = *seen.lock().expect("seen");
     let (good, bad) = ((posted('g') - before.0) as f64, (posted('x') - before.1) as f64);
-    let part = |n: usize| n as f64 / asked.max(1) as f64;
+    let part = |n: usize| n as f64 / sent.max(1) as f64;
     [part(fine), part(answered), good / (good + bad).max(1.0)]
 }
 
 /// An agent with a front, and six servers behind it.
 struct Scene {
     stands: Vec<Stand>,
-    house: Option<House>,
+    routed_agent: Option<AgentProcess>,
     agent: Option<Platform>,
     at: SocketAddr,
     fast: Option<SocketAddr>,
@@ -288,21 +289,21 @@
         + &route("hang", "pay", "a")
         + "[limits]\nmemory_mb = 32\ndescriptors = 256\n"
         + if front == Front::Tenants { tenants } else { "" };
-    let (mut house, mut agent) = (None, None);
+    let (mut routed_agent, mut agent) = (None, None);
     let at = if front == Front::Platform {
         let at = unused();
         agent = Some(platform(at, &stands, name));
         at
     } else {
-        house = Some(House::start(&format!("abuse-{front:?}-{name}"), &text));
-        house.as_ref().expect("started").at
+        routed_agent = Some(AgentProcess::start(&format!("abuse-{front:?}-{name}"), &text));
+        routed_agent.as_ref().expect("started").at
     };
     let began = Instant::now();
     while ask(at, "GET", "/healthz", "").is_none() {
         assert!(began.elapsed() < PATIENCE, "it is never ready");
         std::thread::sleep(Duration::from_millis(5));
     }
-    Scene { stands, house, agent, at, fast }
+    Scene { stands, routed_agent, agent, at, fast }
 }
 
 /// F26, not cured (issue 21): without tenants there is one pot, and who has many connections and lets txns hang until they expire has nearly
@@ -311,7 +312,7 @@
 #[should_panic(expected = "one pot")]
 fn others_keep_a_part_of_one_pot(#[values(Front::Http, Front::Platform)] front: Front) {
     let _turn = TURN.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-    let Scene { stands, at, fast, house: _house, agent: _agent } = scene(front, "pot");
+    let Scene { stands, at, fast, routed_agent: _routed_agent, agent: _agent } = scene(front, "pot");
     let [fine, ..] = phase(at, fast, &stands, &AtomicUsize::new(0), MostInHand);
     assert!(fine > 0.5, "one pot: {fine:.3} within the SLA time beside who takes all of it");
 }
@@ -323,9 +324,10 @@
 #[case::platform(Front::Platform)]
 fn what_the_others_notice(#[case] front: Front) {
     let _turn = TURN.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-    let Scene { stands, house, agent, at, fast } = scene(front, "ways");
+    let Scene { stands, routed_agent, agent, at, fast } = scene(front, "ways");
     let ids = AtomicUsize::new(0);
-    let id = house.as_ref().map(|h| h.child.id()).or(agent.as_ref().map(|a| a.0.id())).expect("a process");
+    let id =
+        routed_agent.as_ref().map(|h| h.child.id()).or(agent.as_ref().map(|a| a.0.id())).expect("a process");
     let most = || {
         let status = std::fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
         let line = status.lines().find_map(|l| l.strip_prefix("VmHWM:")).unwrap_or("");
--- a/crates/cli/tests/conformance.rs
+++ b/crates/cli/tests/conformance.rs
@@ -48,11 +48,11 @@
             }
         }
         io.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").ok()?;
-        let mut told = 0;
+        let mut newest = 0;
         loop {
             let lines = self.lines.lock().expect("lines").clone();
-            let new = lines[told..].iter().map(|l| format!("{l}\n")).collect::<String>();
-            told = lines.len();
+            let new = lines[newest..].iter().map(|l| format!("{l}\n")).collect::<String>();
+            newest = lines.len();
             let text = if new.is_empty() { "\n".into() } else { new };
             io.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes()).ok()?;
             // A call that fails breaks the watch that stands.
@@ -67,9 +67,9 @@
 struct Play {
     lists: Lists,
     stands: BTreeMap<String, Stand>,
-    house: House,
-    asked: usize,
-    told: u64,
+    agent: AgentProcess,
+    sent: usize,
+    newest: u64,
 }
 
 impl Play {
@@ -82,10 +82,10 @@
             route("x", "look", "p")
         );
         let stands = (1..=20).map(|n| (format!("s{n}"), Stand::new(Mode::Slow))).collect();
-        let house = House::start(&format!("row{nth}"), &text);
-        Play { lists, stands, house, asked: 0, told: 0 }
+        let agent = AgentProcess::start(&format!("row{nth}"), &text);
+        Play { lists, stands, agent, sent: 0, newest: 0 }
     }
-    fn list(&mut self, version: &str, whole: bool, words: &[String]) {
+    fn list(&mut self, version: &str, complete: bool, words: &[String]) {
         let member = |word: &String| {
             let (name, standing) = word.split_once(':').unwrap_or((word, "in_service"));
             let phase = match standing {
@@ -100,15 +100,15 @@
         };
         let members: Vec<String> = names(words).iter().map(member).collect();
         let line =
-            format!("{{\"revision\":{version},\"complete\":{whole},\"members\":[{}]}}", members.join(","));
+            format!("{{\"revision\":{version},\"complete\":{complete},\"members\":[{}]}}", members.join(","));
         self.lists.lines.lock().expect("lines").push(line);
         let version: u64 = version.parse().expect("a version");
-        let older = version < self.told;
-        self.told = self.told.max(version);
+        let older = version < self.newest;
+        self.newest = self.newest.max(version);
         // Not the counter of lists: that one counts what the agent began with too.
-        self.house.wait("the line is heard", || match older {
-            true => self.house.counter("lists_older ") > 0,
-            false => self.house.counter("list_version ") == version,
+        self.agent.wait("the line is heard", || match older {
+            true => self.agent.counter("lists_older ") > 0,
+            false => self.agent.counter("list_version ") == version,
         });
     }
     /// Sixty at once, a few times; who got how many since.
@@ -118,11 +118,11 @@
         for _ in 0..rounds {
             std::thread::scope(|scope| {
                 for n in 0..60 {
-                    let (house, id) = (&self.house, self.asked + n);
-                    scope.spawn(move || house.status("GET", "/x", &id.to_string()));
+                    let (agent, id) = (&self.agent, self.sent + n);
+                    scope.spawn(move || agent.status("GET", "/x", &id.to_string()));
                 }
             });
-            self.asked += 60;
+            self.sent += 60;
         }
         let got = |(n, s): (&String, &Stand)| (n.clone(), s.seen().len() - before[n]);
         self.stands.iter().map(got).collect()
@@ -132,18 +132,18 @@
             "grace" => {}
             "list" => self.list(&words[1], words[2] == "full", &words[3..]),
             "lost" => {
-                let before = self.house.counter("lists_failed ");
+                let before = self.agent.counter("lists_failed ");
                 let n: u64 = words[1].parse().expect("a number");
                 *self.lists.fails.lock().expect("fails") = n as usize;
                 // The first two are enough to see: the later ones wait longer and longer.
-                self.house.wait("calls fail", || self.house.counter("lists_failed ") >= before + n.min(2));
+                self.agent.wait("calls fail", || self.agent.counter("lists_failed ") >= before + n.min(2));
             }
             "wait" => std::thread::sleep(Duration::from_millis(words[1].parse().expect("a time"))),
             "drawn" => {
                 let mut left = names(&words[1..]);
                 let began = std::time::Instant::now();
                 while !left.is_empty() {
-                    assert!(began.elapsed() < PATIENCE, "{left:?} get nothing\n{}", self.house.log());
+                    assert!(began.elapsed() < PATIENCE, "{left:?} get nothing\n{}", self.agent.log());
                     let got = self.flow(2);
                     left.retain(|name| got[name] == 0);
                 }
--- a/crates/cli/tests/fastcgi.rs
+++ b/crates/cli/tests/fastcgi.rs
@@ -58,15 +58,15 @@
 }
 
 fn out(id: RequestId, text: &str) -> BytesMut {
-    let mut said = BytesMut::new();
-    put_stream(&mut said, RecordType::Stdout, id, text.as_bytes());
-    said
+    let mut output = BytesMut::new();
+    put_stream(&mut output, RecordType::Stdout, id, text.as_bytes());
+    output
 }
-fn whole(id: RequestId, text: &str, app_status: u32) -> BytesMut {
-    let mut said = out(id, text);
-    end_stream(&mut said, RecordType::Stdout, id);
-    put_end(&mut said, id, app_status, ProtocolStatus::Complete);
-    said
+fn complete_answer(id: RequestId, text: &str, app_status: u32) -> BytesMut {
+    let mut output = out(id, text);
+    end_stream(&mut output, RecordType::Stdout, id);
+    put_end(&mut output, id, app_status, ProtocolStatus::Complete);
+    output
 }
 const FINE: &str = "Status: 200 OK\r\nX-Own: yes\r\n\r\nok\n";
 
@@ -127,12 +127,12 @@
         match kind {
             RecordType::GetValues => {
                 let many = if matches!(way, Way::Together(_) | Way::DieTogether(_)) { "1" } else { "0" };
-                let mut told = BytesMut::new();
-                pairs::put(&mut told, b"FCGI_MPXS_CONNS", many.as_bytes());
-                pairs::put(&mut told, b"FCGI_MAX_REQS", b"16");
-                let mut said = BytesMut::new();
-                put(&mut said, RecordType::GetValuesResult, MANAGEMENT, &told);
-                io.write_all(&said).ok()
+                let mut values = BytesMut::new();
+                pairs::put(&mut values, b"FCGI_MPXS_CONNS", many.as_bytes());
+                pairs::put(&mut values, b"FCGI_MAX_REQS", b"16");
+                let mut output = BytesMut::new();
+                put(&mut output, RecordType::GetValuesResult, MANAGEMENT, &values);
+                io.write_all(&output).ok()
             }
             RecordType::Begin => {
                 halves.push(Half { id, ..Half::default() });
@@ -141,14 +141,14 @@
             RecordType::Abort => {
                 self.aborted.fetch_add(1, Ordering::Relaxed);
                 waiting.retain(|w| *w != id);
-                let mut said = BytesMut::new();
-                put_end(&mut said, id, 0, ProtocolStatus::Complete);
-                io.write_all(&said).ok()
+                let mut output = BytesMut::new();
+                put_end(&mut output, id, 0, ProtocolStatus::Complete);
+                io.write_all(&output).ok()
             }
             RecordType::Params if way == Way::CloseInParams => None,
             RecordType::Params if content.is_empty() && way == Way::AnswerEarly => {
                 self.noted(&halves[half?]);
-                io.write_all(&whole(id, FINE, 0)).ok()
+                io.write_all(&complete_answer(id, FINE, 0)).ok()
             }
             RecordType::Params => {
                 halves[half?].params.extend_from_slice(&content);
@@ -172,65 +172,65 @@
     }
     fn noted(&self, half: &Half) {
         let params = pairs::parse_all(half.params.clone().freeze()).expect("sound params");
-        let told = cgi::parse_request(&params).expect("CGI params");
+        let values = cgi::parse_request(&params).expect("CGI params");
         let id =
-            told.headers.iter().find(|h| h.0 == "x-id").map(|h| String::from_utf8_lossy(&h.1).into_owned());
+            values.headers.iter().find(|h| h.0 == "x-id").map(|h| String::from_utf8_lossy(&h.1).into_owned());
         self.ran.lock().expect("ran").push(id.unwrap_or_default());
     }
     fn answer(&self, io: &mut TcpStream, way: Way, waiting: &mut Vec<RequestId>) -> Option<()> {
         let id = *waiting.last()?;
-        let said = match way {
-            Way::Ok | Way::CloseInParams | Way::AnswerEarly => whole(id, FINE, 0),
+        let output = match way {
+            Way::Ok | Way::CloseInParams | Way::AnswerEarly => complete_answer(id, FINE, 0),
             Way::Together(many) | Way::DieTogether(many) if waiting.len() < many => return Some(()),
             Way::Together(_) => {
                 // The last first, so that only ids tell whose is whose.
                 let all = waiting
                     .drain(..)
                     .rev()
-                    .map(|id| whole(id, &FINE.replace("ok", &format!("ok {}", id.0)), 0));
+                    .map(|id| complete_answer(id, &FINE.replace("ok", &format!("ok {}", id.0)), 0));
                 return io.write_all(&all.flat_map(|b| b.to_vec()).collect::<Vec<u8>>()).ok();
             }
             Way::DieTogether(_) => {
-                let mut said = out(waiting[0], FINE);
-                end_stream(&mut said, RecordType::Stdout, waiting[0]);
-                io.write_all(&said).ok()?;
+                let mut output = out(waiting[0], FINE);
+                end_stream(&mut output, RecordType::Stdout, waiting[0]);
+                io.write_all(&output).ok()?;
                 return None;
             }
             Way::CloseInAnswer => {
-                let said = whole(id, FINE, 0);
-                io.write_all(&said[..said.len() / 2]).ok()?;
+                let output = complete_answer(id, FINE, 0);
+                io.write_all(&output[..output.len() / 2]).ok()?;
                 return None;
             }
             Way::Overloaded => {
                 // It never ran, whatever was noted.
                 self.ran.lock().expect("ran").pop();
-                let mut said = BytesMut::new();
-                put_end(&mut said, id, 0, ProtocolStatus::Overloaded);
-                said
+                let mut output = BytesMut::new();
+                put_end(&mut output, id, 0, ProtocolStatus::Overloaded);
+                output
             }
-            Way::AppStatus => whole(id, FINE, 3),
-            Way::NoHead => whole(id, "what is this", 0),
-            Way::NoStatus => whole(id, "X-Own: yes\r\n\r\nok\n", 0),
+            Way::AppStatus => complete_answer(id, FINE, 3),
+            Way::NoHead => complete_answer(id, "what is this", 0),
+            Way::NoStatus => complete_answer(id, "X-Own: yes\r\n\r\nok\n", 0),
             Way::EndWithoutStdout => {
-                let mut said = out(id, FINE);
-                put_end(&mut said, id, 0, ProtocolStatus::Complete);
-                said
+                let mut output = out(id, FINE);
+                put_end(&mut output, id, 0, ProtocolStatus::Complete);
+                output
             }
             Way::StandStill => {
                 waiting.pop();
                 return io.write_all(&out(id, "Status: 200 OK\r\n")).ok();
             }
             Way::Flood => {
-                let mut said = BytesMut::new();
-                (0..40).for_each(|_| put(&mut said, RecordType::Stderr, id, &[b'e'; 4000]));
-                said.extend_from_slice(&whole(id, FINE, 0));
-                said
+                let mut output = BytesMut::new();
+                (0..40).for_each(|_| put(&mut output, RecordType::Stderr, id, &[b'e'; 4000]));
+                output.extend_from_slice(&complete_answer(id, FINE, 0));
+                output
             }
-            Way::OtherId => whole(RequestId(id.0.wrapping_add(7)), FINE, 0),
+            Way::OtherId => complete_answer(RequestId(id.0.wrapping_add(7)), FINE, 0),
             Way::Hang => return Some(()),
         };
         waiting.pop();
-        io.write_all(&said).ok()
+        io.write_all(&output).ok()
     }
 }
 
@@ -258,20 +258,22 @@
 #[case::other_id(Way::OtherId, 502)]
 #[case::hang(Way::Hang, 502)]
 #[case::stands_still(Way::StandStill, 502)]
-fn a_once_only_txn_runs_once_however_its_server_fails(#[case] way: Way, #[case] status: u16) {
+fn a_non_idempotent_request_runs_once_however_its_server_fails(#[case] way: Way, #[case] status: u16) {
     let server = Server::new(way);
-    let house =
-        House::start(&format!("fcgi-{status}-{}", server.at.port()), &(pool_of(&server) + &routes("f")));
-    let found = house.status("POST", "/pay", "once");
+    let agent = AgentProcess::start(
+        &format!("fcgi-{status}-{}", server.at.port()),
+        &(pool_of(&server) + &routes("f")),
+    );
+    let found = agent.status("POST", "/pay", "once");
     assert_eq!(found, status, "{way:?}");
     let ran = server.ran();
     assert!(ran.iter().filter(|id| *id == "once").count() <= 1, "{ran:?}");
     // And it goes on: nothing of the failure is left on a connection that is used again.
     server.set(Way::Ok);
     let mut n = 0;
-    house.wait("it serves again", || {
+    agent.wait("it serves again", || {
         n += 1;
-        house.status("POST", "/pay", &format!("again-{n}")) == 200
+        agent.status("POST", "/pay", &format!("again-{n}")) == 200
     });
     let mut ids = server.ran();
     let all = ids.len();
@@ -283,17 +285,17 @@
 #[test]
 fn several_share_a_connection_where_the_server_can() {
     let server = Server::new(Way::Together(4));
-    let house = House::start("fcgi-mpx", &(pool_of(&server) + &routes("f")));
+    let agent = AgentProcess::start("fcgi-mpx", &(pool_of(&server) + &routes("f")));
     server.set(Way::Together(1));
-    house.wait("it is known what it can", || house.status("GET", "/look", "first") == 200);
+    agent.wait("it is known what it can", || agent.status("GET", "/look", "first") == 200);
     server.set(Way::Together(3));
     let before = server.links.load(Ordering::Relaxed);
     std::thread::scope(|scope| {
         let all: Vec<_> = (0..3)
             .map(|n| {
                 scope.spawn({
-                    let house = &house;
-                    move || house.status("POST", "/pay", &format!("m{n}"))
+                    let agent = &agent;
+                    move || agent.status("POST", "/pay", &format!("m{n}"))
                 })
             })
             .collect();
@@ -306,8 +308,8 @@
         let all: Vec<_> = (0..3)
             .map(|n| {
                 scope.spawn({
-                    let house = &house;
-                    move || house.status("POST", "/pay", &format!("d{n}"))
+                    let agent = &agent;
+                    move || agent.status("POST", "/pay", &format!("d{n}"))
                 })
             })
             .collect();
@@ -327,7 +329,7 @@
 struct Client {
     io: TcpStream,
     client: ClientSide,
-    heard: Vec<Answer>,
+    response: Vec<Answer>,
 }
 
 impl Client {
@@ -337,7 +339,7 @@
         Client {
             io,
             client: ClientSide::new(ClientLimits { stdout: 100_000, stderr: 1000 }),
-            heard: Vec::new(),
+            response: Vec::new(),
         }
     }
     fn bytes(&mut self, id: u16, method: &str, path: &str, x_id: &str) -> Bytes {
@@ -352,24 +354,24 @@
     }
     /// The answer to this id: status (0: none), how it ended, the body.
     fn hear(&mut self, id: u16) -> (u16, ProtocolStatus, String) {
-        let answer = self.whole(id);
+        let answer = self.complete_answer(id);
         let read = cgi::parse_answer(&answer.stdout);
         let status = read.as_ref().map_or(0, |r| r.status);
         let body = read.map(|r| String::from_utf8_lossy(&r.body).into_owned()).unwrap_or_default();
         (status, answer.status, body)
     }
     /// The same as it came.
-    fn whole(&mut self, id: u16) -> Answer {
+    fn complete_answer(&mut self, id: u16) -> Answer {
         loop {
-            if let Some(at) = self.heard.iter().position(|a| a.id == RequestId(id)) {
-                return self.heard.remove(at);
+            if let Some(at) = self.response.iter().position(|a| a.id == RequestId(id)) {
+                return self.response.remove(at);
             }
             let mut room = [0; 4096];
             let n = self.io.read(&mut room).expect("an answer");
             assert!(n > 0, "the connection ended");
             let mut events = Vec::new();
             self.client.receive(&room[..n], &mut events).expect("the agent speaks FastCGI");
-            self.heard.extend(
+            self.response.extend(
                 events.into_iter().filter_map(|e| if let Event::Answered(a) = e { Some(a) } else { None }),
             );
         }
@@ -391,9 +393,9 @@
         + &door
         + &route("fast", "pay", "f")
         + &route("http", "pay", "h");
-    let house = House::start("fcgi-pairs", &text);
-    assert_eq!(house.status("POST", "/fast", "hf"), 200);
-    assert_eq!(house.status("POST", "/http", "hh"), 200);
+    let agent = AgentProcess::start("fcgi-pairs", &text);
+    assert_eq!(agent.status("POST", "/fast", "hf"), 200);
+    assert_eq!(agent.status("POST", "/http", "hh"), 200);
     let mut client = Client::new(at);
     let all: Vec<u8> = [(1, "/fast", "ff"), (2, "/http", "fh"), (3, "/none", "fn")]
         .into_iter()
@@ -414,33 +416,33 @@
 #[test]
 fn a_client_that_aborts_gets_its_end_and_may_use_the_id_at_once() {
     let (server, (at, door)) = (Server::new(Way::Hang), fast_door());
-    let house = House::start("fcgi-abort", &(pool_of(&server) + &door + &routes("f")));
+    let agent = AgentProcess::start("fcgi-abort", &(pool_of(&server) + &door + &routes("f")));
     let mut client = Client::new(at);
-    let asked = client.bytes(5, "POST", "/pay", "first");
-    client.say(&asked);
-    house.wait("it is out", || server.ran() == ["first"]);
+    let request_bytes = client.bytes(5, "POST", "/pay", "first");
+    client.say(&request_bytes);
+    agent.wait("it is out", || server.ran() == ["first"]);
     server.set(Way::Ok);
     client.say(&client::encode_abort(RequestId(5)));
     assert_eq!(client.hear(5).1, ProtocolStatus::Complete);
-    let asked = client.bytes(5, "POST", "/pay", "second");
-    client.say(&asked);
+    let request_bytes = client.bytes(5, "POST", "/pay", "second");
+    client.say(&request_bytes);
     assert_eq!(client.hear(5), (200, ProtocolStatus::Complete, "ok\n".into()));
-    house.wait("the first was let go", || house.counter("now_in_hand") == 0);
+    agent.wait("the first was let go", || agent.counter("now_in_hand") == 0);
     assert_eq!(server.ran(), ["first", "second"]);
 }
 
 #[test]
-fn overload_is_said_only_where_nothing_can_have_run() {
+fn overload_is_reported_only_where_nothing_can_have_run() {
     let (server, (at, door)) = (Server::new(Way::Overloaded), fast_door());
-    let house = House::start("fcgi-full", &(pool_of(&server) + &door + &routes("f")));
+    let agent = AgentProcess::start("fcgi-full", &(pool_of(&server) + &door + &routes("f")));
     let mut client = Client::new(at);
-    let asked = client.bytes(1, "POST", "/pay", "a");
-    client.say(&asked);
+    let request_bytes = client.bytes(1, "POST", "/pay", "a");
+    client.say(&request_bytes);
     assert_eq!(client.hear(1).1, ProtocolStatus::Overloaded, "turned away by all");
     server.set(Way::CloseInAnswer);
-    house.wait("it is tried again", || {
-        let asked = client.bytes(1, "POST", "/pay", "b");
-        client.say(&asked);
+    agent.wait("it is tried again", || {
+        let request_bytes = client.bytes(1, "POST", "/pay", "b");
+        client.say(&request_bytes);
         let (status, ended, _) = client.hear(1);
         assert!(
             ended == ProtocolStatus::Overloaded || (status, ended) == (502, ProtocolStatus::Complete),
@@ -453,15 +455,15 @@
 #[test]
 fn half_params_and_then_silence_end_the_connection() {
     let (server, (at, door)) = (Server::new(Way::Ok), fast_door());
-    let house = House::start("fcgi-half", &(pool_of(&server) + &door + &routes("f")));
+    let agent = AgentProcess::start("fcgi-half", &(pool_of(&server) + &door + &routes("f")));
     let mut client = Client::new(at);
-    let asked = client.bytes(1, "POST", "/pay", "a");
-    client.say(&asked[..40]);
+    let request_bytes = client.bytes(1, "POST", "/pay", "a");
+    client.say(&request_bytes[..40]);
     assert_eq!(client.io.read(&mut [0; 10]).expect("an end"), 0);
     let mut client = Client::new(at);
     client.say(&[9; 20]);
     assert_eq!(client.io.read(&mut [0; 10]).expect("an end"), 0, "what is no FastCGI ends at once");
-    assert!(house.counter("bad_requests") == 1 && server.ran().is_empty());
+    assert!(agent.counter("bad_requests") == 1 && server.ran().is_empty());
 }
 
 #[test]
@@ -473,20 +475,20 @@
         + &door
         + &route("fast", "pay", "f")
         + &route("http", "pay", "h");
-    let house = House::start("fcgi-declines", &text);
+    let agent = AgentProcess::start("fcgi-declines", &text);
     let mut client = Client::new(at);
-    let asked = client.bytes(1, "POST", "/http", "a");
-    client.say(&asked);
+    let request_bytes = client.bytes(1, "POST", "/http", "a");
+    client.say(&request_bytes);
     assert_eq!(
         client.hear(1).1,
         ProtocolStatus::Overloaded,
         "an HTTP backend that is not there, told in FastCGI"
     );
-    let heard = house.ask("POST", "/fast", "X-Id: b\r\n").expect("heard");
+    let response = agent.ask("POST", "/fast", "X-Id: b\r\n").expect("heard");
     assert!(
-        heard.first.contains("503") && !heard.header("retry-after").is_empty(),
+        response.first.contains("503") && !response.header("retry-after").is_empty(),
         "the reverse: {}",
-        heard.first
+        response.first
     );
     assert!(server.ran().is_empty() && stand.seen().is_empty());
 }
@@ -501,17 +503,17 @@
             + &routes("f")
             + &route("h", "look", "h")
     };
-    let house = House::start("fcgi-drain", &both(server.member()));
-    house.wait("it is known what it can", || house.status("GET", "/look", "first") == 200);
+    let agent = AgentProcess::start("fcgi-drain", &both(server.member()));
+    agent.wait("it is known what it can", || agent.status("GET", "/look", "first") == 200);
     server.set(Way::Together(2));
     let next = Server::new(Way::Ok);
     std::thread::scope(|scope| {
-        let held = scope.spawn(|| house.status("POST", "/pay", "held-1"));
-        house.wait("it is out", || server.ran().len() == 2);
-        house.change(&both(next.member()));
-        house.wait("taken", || house.counter("files_taken") == 1);
+        let held = scope.spawn(|| agent.status("POST", "/pay", "held-1"));
+        agent.wait("it is out", || server.ran().len() == 2);
+        agent.change(&both(next.member()));
+        agent.wait("taken", || agent.counter("files_taken") == 1);
         for n in 0..5 {
-            assert_eq!(house.status("POST", "/pay", &format!("new-{n}")), 200);
+            assert_eq!(agent.status("POST", "/pay", &format!("new-{n}")), 200);
         }
         // One more on its connection, from the outside of the agent, is not to be had: it answers none till two are there.
         server.set(Way::Together(1));
@@ -532,22 +534,22 @@
     let stands: Vec<Stand> = (0..4).map(|_| Stand::new(Mode::Large)).collect();
     let (at, door) = fast_door();
     let text = pool("a", &stands, "") + &door + &route("look", "look", "a") + "[limits]\nmemory_mb = 32\n";
-    let house = House::start("fcgi-unread", &text);
+    let agent = AgentProcess::start("fcgi-unread", &text);
     let mut clients: Vec<Client> = (0..3).map(|_| Client::new(at)).collect();
     for batch in 0..6u16 {
         for client in &mut clients {
             client.io.set_write_timeout(Some(Duration::from_millis(100))).expect("a time-out");
             for id in 1..=30 {
-                let asked = client.bytes(batch * 30 + id, "GET", "/look", "unread");
-                let _ = client.io.write_all(&asked);
+                let request_bytes = client.bytes(batch * 30 + id, "GET", "/look", "unread");
+                let _ = client.io.write_all(&request_bytes);
             }
         }
         std::thread::sleep(Duration::from_millis(150));
     }
-    house.wait("the room is given back", || house.pool_line("a").starts_with("pool a in_hand 0 "));
+    agent.wait("the room is given back", || agent.pool_line("a").starts_with("pool a in_hand 0 "));
     stands.iter().for_each(|s| s.set(Mode::Ok));
-    house.wait("others are served", || (0..10).all(|n| house.status("GET", "/look", &n.to_string()) == 200));
-    house.wait("told", || house.log().contains("CALL_STUCK"));
+    agent.wait("others are served", || (0..10).all(|n| agent.status("GET", "/look", &n.to_string()) == 200));
+    agent.wait("told", || agent.log().contains("CALL_STUCK"));
 }
 
 /// Halves of many requests on many connections: bounded together, whatever each alone may hold; who holds most makes way.
@@ -557,7 +559,7 @@
     let (at, door) = fast_door();
     let text =
         pool("a", std::slice::from_ref(&stand), "") + &door + &routes("a") + "[limits]\nmemory_mb = 32\n";
-    let house = House::start("fcgi-halves", &text);
+    let agent = AgentProcess::start("fcgi-halves", &text);
     let mut clients: Vec<Client> = (0..150).map(|_| Client::new(at)).collect();
     let mut most = 0;
     for client in &mut clients {
@@ -565,44 +567,44 @@
         for id in 1..=20 {
             // All of a request but the end of its input.
             let params = cgi::request_params("POST", "/pay", std::iter::empty(), 60_000);
-            let asked = client::encode_request(RequestId(id), true, &params, &[b'x'; 60_000]).bytes;
-            if client.io.write_all(&asked[..asked.len() - 8]).is_err() {
+            let request_bytes = client::encode_request(RequestId(id), true, &params, &[b'x'; 60_000]).bytes;
+            if client.io.write_all(&request_bytes[..request_bytes.len() - 8]).is_err() {
                 break;
             }
         }
-        most = most.max(house.memory_kb());
+        most = most.max(agent.memory_kb());
     }
     println!("at most {most} kB while halves came");
     assert!(most < 32 * 1024, "{most} kB while halves came");
-    assert_eq!(house.status("POST", "/pay", "other"), 200);
-    house.wait("told", || house.counter("halves_full") > 0 && house.log().contains("CALL_MADE_WAY"));
+    assert_eq!(agent.status("POST", "/pay", "other"), 200);
+    agent.wait("told", || agent.counter("halves_full") > 0 && agent.log().contains("CALL_MADE_WAY"));
     let mut client = Client::new(at);
-    let asked = client.bytes(1, "POST", "/pay", "fast");
-    client.say(&asked);
+    let request_bytes = client.bytes(1, "POST", "/pay", "fast");
+    client.say(&request_bytes);
     assert_eq!(client.hear(1), (200, ProtocolStatus::Complete, "ok\n".into()));
 }
 
 /// A refusal says on both fronts when to come back, and why.
 #[test]
 fn a_refusal_by_fastcgi_says_when_to_come_back() {
-    let ill: Vec<Stand> = (0..12).map(|_| Stand::new(Mode::Hang)).collect();
+    let failing: Vec<Stand> = (0..12).map(|_| Stand::new(Mode::Hang)).collect();
     let (at, door) = fast_door();
-    let text = pool("a", &ill, "part = 0.1") + &door + &routes("a") + "[limits]\nmemory_mb = 8\n";
-    let house = House::start("fcgi-refusal", &text);
+    let text = pool("a", &failing, "part = 0.1") + &door + &routes("a") + "[limits]\nmemory_mb = 8\n";
+    let agent = AgentProcess::start("fcgi-refusal", &text);
     let mut clients: Vec<Client> = (0..4).map(|_| Client::new(at)).collect();
     for client in &mut clients {
         for id in 1..=30 {
-            let asked = client.bytes(id, "POST", "/pay", &id.to_string());
-            client.say(&asked);
+            let request_bytes = client.bytes(id, "POST", "/pay", &id.to_string());
+            client.say(&request_bytes);
         }
     }
-    house.wait("it is full", || house.counter("POOL_FULL") > 0);
+    agent.wait("it is full", || agent.counter("POOL_FULL") > 0);
     let refused = clients.iter_mut().find_map(|client| {
-        (1..=30).map(|id| client.whole(id)).find(|answer| {
+        (1..=30).map(|id| client.complete_answer(id)).find(|answer| {
             answer.status == ProtocolStatus::Overloaded
                 && String::from_utf8_lossy(&answer.stdout).contains("POOL_FULL")
         })
     });
-    let said = String::from_utf8_lossy(&refused.expect("a refusal").stdout).into_owned();
-    assert!(said.starts_with("Status: 503") && said.contains("retry-after: 0.050"), "{said}");
+    let output = String::from_utf8_lossy(&refused.expect("a refusal").stdout).into_owned();
+    assert!(output.starts_with("Status: 503") && output.contains("retry-after: 0.050"), "{output}");
 }
--- a/crates/cli/tests/lab.rs
+++ b/crates/cli/tests/lab.rs
@@ -85,15 +85,15 @@
 }
 
 #[test]
-fn an_agent_that_breaks_rules_is_caught_and_its_txn_told() {
+fn an_agent_that_breaks_rules_is_caught_and_its_request_named() {
     let out = Folder::new("careless");
     let output = run("backends", &out.0, &["--arm", "careless"]);
-    let said = text(&output);
-    assert_eq!(output.status.code(), Some(1), "{said}");
+    let output_text = text(&output);
+    assert_eq!(output.status.code(), Some(1), "{output_text}");
     for what in ["a once-only txn sent again though it may have run", "declined though it may have run"] {
-        assert!(said.contains(what), "{what}\n{said}");
+        assert!(output_text.contains(what), "{what}\n{output_text}");
     }
-    assert!(said.contains("Began { posting"), "the history of the txn\n{said}");
+    assert!(output_text.contains("Began { posting"), "the history of the txn\n{output_text}");
 }
 
 #[test]
@@ -103,8 +103,8 @@
     assert!(plain(&["lab", "run", "no-such"]).contains("no experiment `no-such`"));
     let file = format!("{}/tests/experiments/register.toml", env!("CARGO_MANIFEST_DIR"));
     let out = out.0.to_string_lossy().into_owned();
-    let said = plain(&["lab", "run", &file, "--out", &out, "--agent", "/nowhere/agent"]);
-    assert!(said.contains("no agent at /nowhere/agent"), "{said}");
-    let said = plain(&["lab", "run", &file, "--out", &out, "--arm", "best"]);
-    assert!(said.contains("no arm `best`; there are notchspool, routes"), "{said}");
+    let output_text = plain(&["lab", "run", &file, "--out", &out, "--agent", "/nowhere/agent"]);
+    assert!(output_text.contains("no agent at /nowhere/agent"), "{output_text}");
+    let output_text = plain(&["lab", "run", &file, "--out", &out, "--arm", "best"]);
+    assert!(output_text.contains("no arm `best`; there are notchspool, routes"), "{output_text}");
 }
--- a/crates/cli/tests/links.rs
+++ b/crates/cli/tests/links.rs
@@ -25,7 +25,7 @@
     InAnswersHead,
     InAnswersBody,
     /// Ends at the SLA time, or 20 ms before the expiry as the backend was told it.
-    AtSlaTime,
+    AtLatencyTarget,
     NearExpiry,
 }
 
@@ -33,7 +33,7 @@
 #[derive(Default)]
 struct Book {
     began: BTreeMap<String, usize>,
-    whole: BTreeMap<String, usize>,
+    complete: BTreeMap<String, usize>,
     ran: BTreeMap<String, usize>,
 }
 
@@ -72,7 +72,7 @@
         reader.read_exact(&mut body).ok()?;
         {
             let mut book = book.lock().expect("book");
-            *book.whole.entry(id.clone()).or_default() += 1;
+            *book.complete.entry(id.clone()).or_default() += 1;
             // A reference that is remembered has no second effect.
             let known = value("idempotency-key:").is_some() && book.ran.contains_key(&id);
             *book.ran.entry(id).or_default() += usize::from(!known);
@@ -84,7 +84,7 @@
             Drop::AfterRequest => return None,
             Drop::InAnswersHead => return io.write_all(&FINE[..20]).ok().and(None),
             Drop::InAnswersBody => return io.write_all(&FINE[..FINE.len() - 1]).ok().and(None),
-            Drop::AtSlaTime => {
+            Drop::AtLatencyTarget => {
                 std::thread::sleep(Duration::from_millis(500));
                 return None;
             }
@@ -118,7 +118,7 @@
 }
 
 #[rstest]
-fn each_kind_of_txn(
+fn each_class_of_request(
     #[values(
         Drop::HalfOpen,
         Drop::LongIdle,
@@ -126,7 +126,7 @@
         Drop::AfterRequest,
         Drop::InAnswersHead,
         Drop::InAnswersBody,
-        Drop::AtSlaTime,
+        Drop::AtLatencyTarget,
         Drop::NearExpiry
     )]
     how: Drop,
@@ -135,35 +135,35 @@
     let members: Vec<String> =
         (0..2).map(|n| format!("{{ at = \"{}\", size = 4.0 }}", backend(n, how, book.clone()))).collect();
     let mut text = format!("[[pool]]\nname = \"a\"\nmembers = [{}]\n", members.join(", "));
-    for scheme in ["look", "move", "pay"] {
-        text += &route(scheme, scheme, "a");
+    for class in ["look", "move", "pay"] {
+        text += &route(class, class, "a");
         text += "expiry_header = \"X-Left\"\nmultiple = 3.0\n";
     }
-    let house = House::start(&format!("links-{how:?}"), &text);
+    let agent = AgentProcess::start(&format!("links-{how:?}"), &text);
     // Both have a connection that has served, and so have the budgets of further postings something to spend.
     for n in 0..30 {
-        let heard = house.ask("GET", "/look", &format!("X-Id: warm{n}\r\n")).expect("heard");
-        assert!(heard.first.contains("200") || how == Drop::LongIdle, "{}", heard.first);
+        let response = agent.ask("GET", "/look", &format!("X-Id: warm{n}\r\n")).expect("heard");
+        assert!(response.first.contains("200") || how == Drop::LongIdle, "{}", response.first);
     }
-    for (scheme, method) in [("look", "GET"), ("move", "POST"), ("pay", "POST")] {
-        let id = format!("{scheme}-1");
+    for (class, method) in [("look", "GET"), ("move", "POST"), ("pay", "POST")] {
+        let id = format!("{class}-1");
         let began = Instant::now();
-        let headers = format!("X-Id: {id}\r\nX-Left: 1200\r\nIdempotency-Key: k-{scheme}\r\n");
-        let heard = house.ask(method, &format!("/{scheme}"), &headers).expect("an answer");
+        let headers = format!("X-Id: {id}\r\nX-Left: 1200\r\nIdempotency-Key: k-{class}\r\n");
+        let response = agent.ask(method, &format!("/{class}"), &headers).expect("an answer");
         let took = began.elapsed().as_millis();
-        let status: u16 = heard.first.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status");
+        let status: u16 = response.first.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status");
         let book = book.lock().expect("book");
         let count = |of: &BTreeMap<String, usize>| of.get(&id).copied().unwrap_or(0);
-        let (began, whole, ran) = (count(&book.began), count(&book.whole), count(&book.ran));
+        let (began, complete, ran) = (count(&book.began), count(&book.complete), count(&book.ran));
         println!(
-            "{how:<14?} {scheme:<5} {status} after {took:>4} ms, postings {began} begun {whole} whole, ran {ran}"
+            "{how:<14?} {class:<5} {status} after {took:>4} ms, postings {began} begun {complete} whole, ran {ran}"
         );
         // Exactly one answer, by the expiry.
-        assert!(took < 1300, "{how:?} {scheme}: {took} ms");
-        match scheme {
+        assert!(took < 1300, "{how:?} {class}: {took} ms");
+        match class {
             // Never twice, and a decline only where it never ran.
             "pay" => {
-                assert!(whole <= 1 && ran <= 1, "{how:?}: {whole} whole, {ran} effects");
+                assert!(complete <= 1 && ran <= 1, "{how:?}: {complete} whole, {ran} effects");
                 assert!(status != 503 || ran == 0, "{how:?}: declined though it ran");
                 let may_have_run = !matches!(how, Drop::LongIdle | Drop::InRequest);
                 assert!(!may_have_run || status == 502, "{how:?}: {status}");
@@ -173,8 +173,8 @@
         }
         // Every kept connection fails at its next use: what that says of a backend is issue 20's.
         let in_time = !matches!(how, Drop::HalfOpen | Drop::NearExpiry | Drop::LongIdle);
-        if scheme != "pay" && in_time {
-            assert_eq!(status, 200, "{how:?} {scheme}: sent again, and served");
+        if class != "pay" && in_time {
+            assert_eq!(status, 200, "{how:?} {class}: sent again, and served");
         }
     }
 }
--- a/crates/cli/tests/owner.rs
+++ b/crates/cli/tests/owner.rs
@@ -309,28 +309,28 @@
 #[rstest]
 #[case(Disk::Empty)]
 #[case(Disk::Torn)]
-fn a_voter_that_lost_its_disk_votes_only_once_the_others_have_told_it_all(#[case] disk: Disk) {
+fn a_voter_that_lost_its_disk_votes_only_after_recovery_from_the_others(#[case] disk: Disk) {
     let mut ground = started("disk", 3, 2);
     let revision = ground.take(&ground.order("x", CommandKind::Drain, 20_000));
     ground.ended(revision);
     let owner = ground.owner();
-    let (ill, other) = ((owner + 1) % 3, (owner + 2) % 3);
-    ground.field.keepers[ill].kill();
-    ground.field.keepers[ill].disk(disk);
+    let (lost, other) = ((owner + 1) % 3, (owner + 2) % 3);
+    ground.field.keepers[lost].kill();
+    ground.field.keepers[lost].disk(disk);
     // One of the two others is away: it can't be told by a majority of them.
     ground.field.keepers[other].kill();
-    ground.field.keepers[ill].start(&[]).expect("it starts");
-    ground.voter(ill, VoterStatus::Blank);
+    ground.field.keepers[lost].start(&[]).expect("it starts");
+    ground.voter(lost, VoterStatus::Blank);
     wait("the owner stops itself", PATIENCE, || notchspool_lab::ground::play::owner(&ground.field).is_none())
         .expect("a voter with a disk and one without are no majority");
     std::thread::sleep(Duration::from_millis(LEASE * 3));
     assert_eq!(notchspool_lab::ground::play::owner(&ground.field), None);
-    assert!(ground.keeper(ill).is_some_and(|k| k.voter == VoterStatus::Blank));
+    assert!(ground.keeper(lost).is_some_and(|k| k.voter == VoterStatus::Blank));
     ground.field.keepers[other].start(&[]).expect("it starts");
-    ground.voter(ill, VoterStatus::Voting);
+    ground.voter(lost, VoterStatus::Voting);
     // What was written before outlives the two that had it first.
     let there = ground.owner();
-    let gone = (0..3).find(|k| *k != ill && *k != there).unwrap_or(there);
+    let gone = (0..3).find(|k| *k != lost && *k != there).unwrap_or(there);
     ground.field.keepers[gone].kill();
     assert!(ground.states(revision).iter().all(|s| matches!(s, CommandState::Applied(_))));
     let revision = ground.take(&ground.order("y", CommandKind::Undrain, 20_000));
@@ -380,8 +380,8 @@
         assert!(token > last, "round {nth}: {token} after {last}");
         last = token;
         // Whoever owns is asked to let go: by then it may be another already.
-        let said = ground.client().ask(&Body::ReleaseOwnership, PATIENCE).expect("an answer");
-        assert_eq!(said, Body::OwnershipReleased);
+        let answer = ground.client().ask(&Body::ReleaseOwnership, PATIENCE).expect("an answer");
+        assert_eq!(answer, Body::OwnershipReleased);
     }
     let revision = ground.take(&ground.order("x", CommandKind::Drain, 20_000));
     assert!(ground.ended(revision).iter().all(|s| matches!(s, CommandState::Applied(_))));
@@ -439,7 +439,7 @@
 }
 
 #[test]
-fn an_agent_that_falls_between_token_and_effect_does_it_in_its_next_life() {
+fn an_agent_that_crashes_between_token_and_effect_executes_after_its_restart() {
     let mut ground = laid("effect", 3, 2);
     for keeper in &mut ground.field.keepers {
         keeper.start(&["--first"]).expect("a keeper");
@@ -460,7 +460,7 @@
 }
 
 #[test]
-fn every_keeper_names_the_owner_that_there_is() {
+fn every_controller_names_the_present_owner() {
     let mut ground = started("names", 3, 1);
     let all_name = |ground: &Ground, token: u64| {
         let named = |n| ground.keeper(n).and_then(|k| k.owner).map(|o| o.token.0);
@@ -489,24 +489,24 @@
 #[test]
 fn an_agent_finds_the_owner_though_two_others_name_each_other() {
     let mut ground = laid("ring", 3, 1);
-    let asked: std::sync::Arc<[AtomicUsize; 2]> = Default::default();
+    let asked_count: std::sync::Arc<[AtomicUsize; 2]> = Default::default();
     let registers = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(false));
     for n in 0..3 {
         let listener = TcpListener::bind(ground.field.keeper_at(n)).expect("a keeper's place");
-        let (asked, registers) = (asked.clone(), registers.clone());
+        let (asked_count, registers) = (asked_count.clone(), registers.clone());
         std::thread::spawn(move || {
             for mut io in listener.incoming().flatten() {
                 let mut line = String::new();
                 let Ok(read) = io.try_clone() else { return };
                 let _ = (read.set_read_timeout(Some(PATIENCE)), BufReader::new(read).read_line(&mut line));
                 let Ok(message) = Message::decode(line.as_bytes(), "lab") else { continue };
-                let owns = n == 2 && asked.iter().all(|a| a.load(Relaxed) >= 2);
+                let owns = n == 2 && asked_count.iter().all(|a| a.load(Relaxed) >= 2);
                 if owns && matches!(message.body, Body::Register { .. }) {
                     registers.store(true, Relaxed);
                     return;
                 }
-                if let Some(asked) = asked.get(n) {
-                    asked.fetch_add(1, Relaxed);
+                if let Some(asked_count) = asked_count.get(n) {
+                    asked_count.fetch_add(1, Relaxed);
                 }
                 let place = Some([1, 0, 0][n]);
                 let line =
@@ -518,7 +518,7 @@
     }
     ground.field.agents[0].start(&[]).expect("an agent");
     wait("it comes to the owner", PATIENCE, || registers.load(Relaxed)).unwrap_or_else(|why| {
-        panic!("{why}; the others were asked {asked:?} times");
+        panic!("{why}; the others were asked {asked_count:?} times");
     });
 }
 
@@ -537,15 +537,15 @@
         let mut io = TcpStream::connect(at).expect("a keeper");
         io.set_read_timeout(Some(PATIENCE)).expect("a bound");
         io.write_all(line.as_bytes()).expect("written");
-        let mut heard = String::new();
-        BufReader::new(io).read_line(&mut heard).expect("a reason");
-        assert!(heard.contains("refused"), "{line}: {heard}");
+        let mut received = String::new();
+        BufReader::new(io).read_line(&mut received).expect("a reason");
+        assert!(received.contains("refused"), "{line}: {received}");
     }
     // A caller's own words are no counter's name: else a table would grow with whatever is sent.
     let mut client = FleetClient::new("lab", &[at], "x");
     for n in 0..50 {
-        let said = client.ask_one(at, &Body::Rejected { reason: format!("word{n}") }, PATIENCE);
-        assert!(matches!(said, Ok(Body::Rejected { .. } | Body::NotOwner { .. })), "{said:?}");
+        let answer = client.ask_one(at, &Body::Rejected { reason: format!("word{n}") }, PATIENCE);
+        assert!(matches!(answer, Ok(Body::Rejected { .. } | Body::NotOwner { .. })), "{answer:?}");
     }
     let names: Vec<String> =
         (0..3).filter_map(|n| ground.keeper(n)).flat_map(|k| k.refused.into_keys()).collect();
@@ -590,7 +590,7 @@
                 Body::Renew { .. } => say(message.number, Body::Renewed { token, renew_in_us: 100_000 }),
                 // The agent, with an empty disk, asks what was seen.
                 Body::VoterRequest(_) => {
-                    let said = notchspool_consensus::Reply::Current {
+                    let answer = notchspool_consensus::Reply::Current {
                         promised: Default::default(),
                         entries: Default::default(),
                     };
@@ -599,7 +599,7 @@
                         Body::VoterResponse(notchspool_consensus::Response {
                             incarnation: 0,
                             known_incarnations: Default::default(),
-                            reply: said,
+                            reply: answer,
                         }),
                     );
                     return;
@@ -652,9 +652,9 @@
     } else {
         wait("the late order is done", PATIENCE, || noted(&ground).len() > 1).expect("no fence, no guard");
     }
-    let wrong = judge(&History { effects: noted(&ground), ..History::default() });
-    let older = wrong.iter().any(|w| w.contains("under token 5 after 7"));
-    assert_eq!(older, !fence, "{wrong:?}");
+    let violations = judge(&History { effects: noted(&ground), ..History::default() });
+    let older = violations.iter().any(|w| w.contains("under token 5 after 7"));
+    assert_eq!(older, !fence, "{violations:?}");
 }
 
 #[test]
@@ -665,12 +665,12 @@
     let say = |io: &mut TcpStream, no: u64, body: Body| {
         io.write_all(Message::new("lab", "k1", no, body).encode().as_bytes()).expect("said");
     };
-    let heard = |io: &TcpStream| {
+    let received = |io: &TcpStream| {
         let mut line = String::new();
         BufReader::new(io.try_clone().expect("a handle")).read_line(&mut line).expect("a line");
         Message::decode(line.as_bytes(), "lab").expect("a message")
     };
-    let told = |revision, act, token| Body::Execute {
+    let execute = |revision, act, token| Body::Execute {
         token: notchspool_consensus::Token(token),
         job: "orders".into(),
         epoch: Epoch(1),
@@ -680,7 +680,7 @@
     let token = notchspool_consensus::Token;
     // Its first own connection; what its empty folder makes it ask comes on others.
     let (mut io, _) = listener.accept().expect("the agent");
-    let hello = heard(&io);
+    let hello = received(&io);
     // Read from now on, its file hangs for a while: the reload takes its time, and the drain behind it waits.
     let file = ground.field.plan.folder.join("a0.toml");
     std::fs::remove_file(&file).expect("removed");
@@ -690,22 +690,22 @@
         hello.number,
         Body::Registered { id: InstanceId(0), epoch: Epoch(1), token: token(5), renew_in_us: 50_000 },
     );
-    say(&mut io, 0, told(1, CommandKind::Reload, 5));
+    say(&mut io, 0, execute(1, CommandKind::Reload, 5));
     let (mut asks, _) = listener.accept().expect("it asks what was seen");
-    let asked = heard(&asks);
-    let said =
+    let asked_count = received(&asks);
+    let answer =
         notchspool_consensus::Reply::Current { promised: Default::default(), entries: Default::default() };
     let answer = notchspool_consensus::Response {
         incarnation: 0,
         known_incarnations: Default::default(),
-        reply: said,
+        reply: answer,
     };
-    say(&mut asks, asked.number, Body::VoterResponse(answer));
-    say(&mut io, 0, told(2, CommandKind::Drain, 5));
+    say(&mut asks, asked_count.number, Body::VoterResponse(answer));
+    say(&mut io, 0, execute(2, CommandKind::Drain, 5));
     drop(io);
     // The next owner's word comes while the drain still waits.
     let (mut io, _) = listener.accept().expect("the agent again");
-    let hello = heard(&io);
+    let hello = received(&io);
     assert!(matches!(hello.body, Body::Renew { .. }), "{hello:?}");
     say(&mut io, hello.number, Body::Renewed { token: token(7), renew_in_us: 60_000_000 });
     let log = || ground.field.agents[0].noted();
@@ -717,7 +717,7 @@
 
 /// A keeper of a form that is not known here, in the place of a real one: it answers all in that form.
 #[test]
-fn a_keeper_of_another_form_is_no_vote_and_the_others_go_on() {
+fn a_controller_of_another_format_is_no_vote_and_the_others_go_on() {
     let mut ground = laid("form", 3, 2);
     let listener = TcpListener::bind(ground.field.keeper_at(2)).expect("the third's place");
     std::thread::spawn(move || {
@@ -728,11 +728,11 @@
                     let Ok(line) = line else { return };
                     let Ok(message) = Message::decode(line.as_bytes(), "lab") else { return };
                     // Newer than ours, and saying what would be a vote.
-                    let said = notchspool_consensus::Reply::Accepted;
+                    let answer = notchspool_consensus::Reply::Accepted;
                     let answer = notchspool_consensus::Response {
                         incarnation: 0,
                         known_incarnations: Default::default(),
-                        reply: said,
+                        reply: answer,
                     };
                     let vote =
                         Message::new("lab", "k3", message.number, Body::VoterResponse(answer)).encode();
@@ -752,8 +752,8 @@
     settled(&ground.field, 2).expect("all register with the two that speak alike");
     let revision = ground.take(&ground.order("x", CommandKind::Drain, 20_000));
     assert!(ground.ended(revision).iter().all(|s| matches!(s, CommandState::Applied(_))));
-    let said = (0..2).any(|n| ground.field.keepers[n].noted().contains("form 2 is not known here"));
-    assert!(said, "it says so");
+    let answer = (0..2).any(|n| ground.field.keepers[n].noted().contains("form 2 is not known here"));
+    assert!(answer, "it says so");
     ground.sound();
     // Without the second there is no majority, whatever the third says.
     let owner = ground.owner();
--- a/crates/cli/tests/house.rs
+++ b/crates/cli/tests/routed_agent.rs
@@ -17,14 +17,14 @@
     let extra = "[[route]]\nname = \"local\"\nprefix = \"/local\"\nscheme = \"look\"\npool = \"a\"\n\
                  add = { \"X-Edge\" = \"one\" }\nremove = [\"X-Secret\"]\nexpiry_header = \"X-Left\"\n\
                  [[listen]]\nname = \"sock\"\nunix = \"@folder/sock\"\n";
-    let house = House::start(
+    let agent = AgentProcess::start(
         "bytes",
         &(pool("a", std::slice::from_ref(&stand), "") + &route("x", "look", "a") + extra),
     );
-    let heard = house
+    let response = agent
         .ask("GET", "/x/y?q=1", "X-Id: 1\r\nX-Any: thing\r\nConnection: x-hop\r\nX-Hop: 1\r\n")
         .expect("heard");
-    assert!(heard.first.contains("200") && heard.body == "ok\n" && heard.header("x-own") == "yes");
+    assert!(response.first.contains("200") && response.body == "ok\n" && response.header("x-own") == "yes");
     let last = || stand.last.lock().expect("last").clone();
     assert!(
         last().starts_with("GET /x/y?q=1 ") && last().contains("thing") && last().contains("it.example"),
@@ -33,19 +33,19 @@
     );
     assert!(!last().contains("x-hop"), "what belongs to one connection goes no further: {}", last());
     stand.set(Mode::Missing);
-    let heard = house.ask("GET", "/x", "X-Id: 2\r\n").expect("heard");
-    assert!(heard.first.contains("404") && heard.body == "none\n" && heard.header("x-own") == "yes");
+    let response = agent.ask("GET", "/x", "X-Id: 2\r\n").expect("heard");
+    assert!(response.first.contains("404") && response.body == "none\n" && response.header("x-own") == "yes");
     stand.set(Mode::Fail);
-    let heard = house.ask("GET", "/x", "X-Id: 3\r\n").expect("heard");
-    assert!(heard.first.contains("500") && heard.body == "oops\n", "{}", heard.first);
+    let response = agent.ask("GET", "/x", "X-Id: 3\r\n").expect("heard");
+    assert!(response.first.contains("500") && response.body == "oops\n", "{}", response.first);
     stand.set(Mode::Ok);
-    house.wait("it serves again", || house.status("HEAD", "/x", "4") == 200);
-    assert_eq!(house.status("GET", "/nowhere", "5"), 404);
-    let mut io = UnixStream::connect(house.folder.join("sock")).expect("the socket");
-    let asked = say("GET", "/local/z", "X-Id: 6\r\nX-Secret: s\r\nX-Edge: forged\r\nX-Left: 700\r\n");
-    io.write_all(asked.as_bytes()).expect("written");
-    let heard = message(&mut BufReader::new(io), false).expect("heard");
-    assert!(heard.first.contains("200"));
+    agent.wait("it serves again", || agent.status("HEAD", "/x", "4") == 200);
+    assert_eq!(agent.status("GET", "/nowhere", "5"), 404);
+    let mut io = UnixStream::connect(agent.folder.join("sock")).expect("the socket");
+    let sent = say("GET", "/local/z", "X-Id: 6\r\nX-Secret: s\r\nX-Edge: forged\r\nX-Left: 700\r\n");
+    io.write_all(sent.as_bytes()).expect("written");
+    let response = message(&mut BufReader::new(io), false).expect("heard");
+    assert!(response.first.contains("200"));
     let last = last();
     assert!(
         last.contains("\"x-edge\", \"one\"") && !last.contains("forged") && !last.contains("x-secret"),
@@ -56,34 +56,34 @@
 
 #[test]
 fn a_pool_that_hangs_takes_its_part_and_no_more() {
-    let ill: Vec<Stand> = (0..12).map(|_| Stand::new(Mode::Hang)).collect();
+    let failing: Vec<Stand> = (0..12).map(|_| Stand::new(Mode::Hang)).collect();
     let well = [Stand::new(Mode::Ok), Stand::new(Mode::Ok)];
-    let text = pool("ill", &ill, "part = 0.1")
+    let text = pool("ill", &failing, "part = 0.1")
         + &pool("well", &well, "part = 0.4")
         + &route("ill", "pay", "ill")
         + &route("well", "look", "well")
         + "[limits]\nmemory_mb = 32\n";
-    let house = House::start("hang", &text);
+    let agent = AgentProcess::start("hang", &text);
     let (ended, full) = (AtomicBool::new(false), AtomicUsize::new(0));
     std::thread::scope(|scope| {
         let crowd: Vec<_> = (0..100)
             .map(|n| {
-                let (house, full) = (&house, &full);
+                let (agent, full) = (&agent, &full);
                 scope.spawn(move || {
-                    let heard = house.ask("POST", "/ill", &format!("X-Id: {n}\r\n"));
-                    let full_now = heard.is_some_and(|m| m.header("x-notchspool-reason") == "POOL_FULL");
+                    let response = agent.ask("POST", "/ill", &format!("X-Id: {n}\r\n"));
+                    let full_now = response.is_some_and(|m| m.header("x-notchspool-reason") == "POOL_FULL");
                     full.fetch_add(usize::from(full_now), Ordering::Relaxed);
                 })
             })
             .collect();
-        house.wait("the ill pool is full", || full.load(Ordering::Relaxed) > 0);
+        agent.wait("the ill pool is full", || full.load(Ordering::Relaxed) > 0);
         for n in 0..60 {
-            assert_eq!(house.status("GET", "/well", &n.to_string()), 200, "while the other hangs");
+            assert_eq!(agent.status("GET", "/well", &n.to_string()), 200, "while the other hangs");
         }
         ended.store(true, Ordering::Relaxed);
         crowd.into_iter().for_each(|one| one.join().expect("ended"));
     });
-    assert!(house.counter("now_in_hand") == 0, "all is given back");
+    assert!(agent.counter("now_in_hand") == 0, "all is given back");
 }
 
 /// Ids that arrived at more than one place, or twice at one.
@@ -102,29 +102,29 @@
         + &pool("second", &backup, "")
         + &route("pay", "pay", "first")
         + &route("look", "look", "first");
-    let house = House::start("dying", &text);
+    let agent = AgentProcess::start("dying", &text);
     for n in 0..20 {
-        assert_eq!(house.status("POST", "/pay", &format!("a{n}")), 200);
+        assert_eq!(agent.status("POST", "/pay", &format!("a{n}")), 200);
     }
     assert!(backup[0].seen().is_empty(), "while the primary serves");
     primary.iter().for_each(|s| s.set(Mode::Break));
-    let broken: Vec<u16> = (0..12).map(|n| house.status("POST", "/pay", &format!("b{n}"))).collect();
+    let broken: Vec<u16> = (0..12).map(|n| agent.status("POST", "/pay", &format!("b{n}"))).collect();
     assert!(broken.iter().filter(|s| **s == 502).count() >= 2, "what may have run is reversed: {broken:?}");
     let all = [&primary[0], &primary[1], &backup[0]];
     assert_eq!(doubled(&all), Vec::<String>::new());
     // Dead, nothing is written: what is refused may go on, and soon all of it does.
     primary.iter().for_each(|s| s.set(Mode::Down));
     let mut n = 0;
-    house.wait("the backup serves", || {
+    agent.wait("the backup serves", || {
         n += 1;
-        (0..5).all(|m| house.status("POST", "/pay", &format!("c{n}-{m}")) == 200)
+        (0..5).all(|m| agent.status("POST", "/pay", &format!("c{n}-{m}")) == 200)
     });
     assert_eq!(doubled(&all), Vec::<String>::new());
     primary.iter().for_each(|s| s.set(Mode::Ok));
     let before = primary[0].seen().len() + primary[1].seen().len();
-    house.wait("it comes back", || {
+    agent.wait("it comes back", || {
         n += 1;
-        house.status("POST", "/pay", &format!("d{n}"));
+        agent.status("POST", "/pay", &format!("d{n}"));
         primary[0].seen().len() + primary[1].seen().len() > before + 20
     });
     assert_eq!(doubled(&all), Vec::<String>::new());
@@ -136,16 +136,16 @@
     let text = pool("first", &primary, "backup = \"second\"")
         + &pool("second", &backup, "")
         + &route("pay", "pay", "first");
-    let house = House::start("flaps", &text);
-    let (over, asked) = (AtomicBool::new(false), AtomicUsize::new(0));
+    let agent = AgentProcess::start("flaps", &text);
+    let (over, sent) = (AtomicBool::new(false), AtomicUsize::new(0));
     let served = AtomicUsize::new(0);
     std::thread::scope(|scope| {
         for thread in 0..3 {
-            let (house, over, asked, served) = (&house, &over, &asked, &served);
+            let (agent, over, sent, served) = (&agent, &over, &sent, &served);
             scope.spawn(move || {
                 while !over.load(Ordering::Relaxed) {
-                    let n = asked.fetch_add(1, Ordering::Relaxed);
-                    let status = house.status("POST", "/pay", &format!("{thread}-{n}"));
+                    let n = sent.fetch_add(1, Ordering::Relaxed);
+                    let status = agent.status("POST", "/pay", &format!("{thread}-{n}"));
                     assert!([200, 502, 503].contains(&status), "{status}");
                     served.fetch_add(usize::from(status == 200), Ordering::Relaxed);
                 }
@@ -172,34 +172,34 @@
     let (a, b) = ([Stand::new(Mode::Ok)], [Stand::new(Mode::Ok)]);
     let pools = pool("a", &a, "") + &pool("b", &b, "part = 0.2");
     let text = |to: &str| pools.clone() + &route("pay", "pay", to) + &route("look", "look", "a");
-    let house = House::start("reload", &text("a"));
-    let (over, asked) = (AtomicBool::new(false), AtomicUsize::new(0));
+    let agent = AgentProcess::start("reload", &text("a"));
+    let (over, sent) = (AtomicBool::new(false), AtomicUsize::new(0));
     std::thread::scope(|scope| {
         for thread in 0..2 {
-            let (house, over, asked) = (&house, &over, &asked);
+            let (agent, over, sent) = (&agent, &over, &sent);
             scope.spawn(move || {
                 while !over.load(Ordering::Relaxed) {
-                    let n = asked.fetch_add(1, Ordering::Relaxed);
-                    assert_eq!(house.status("POST", "/pay", &format!("{thread}-{n}")), 200);
+                    let n = sent.fetch_add(1, Ordering::Relaxed);
+                    assert_eq!(agent.status("POST", "/pay", &format!("{thread}-{n}")), 200);
                 }
             });
         }
         for n in 1..=1000u64 {
-            house.change(&text(if n % 2 == 1 { "b" } else { "a" }));
+            agent.change(&text(if n % 2 == 1 { "b" } else { "a" }));
             // Signals that come together would be one: each is waited for.
-            house.wait("taken", || house.counter("files_taken") == n);
+            agent.wait("taken", || agent.counter("files_taken") == n);
         }
         over.store(true, Ordering::Relaxed);
     });
     let (at_a, at_b) = (a[0].seen(), b[0].seen());
     assert!(!at_a.is_empty() && !at_b.is_empty(), "both had their turns");
-    assert_eq!(at_a.len() + at_b.len(), asked.load(Ordering::Relaxed), "none lost");
+    assert_eq!(at_a.len() + at_b.len(), sent.load(Ordering::Relaxed), "none lost");
     assert_eq!(doubled(&[&a[0], &b[0]]), Vec::<String>::new());
     // One that fails at its last line changes nothing.
-    house.change(&(text("a") + "\n[[route]]\nname = \"last\"\nscheme = \"none\"\npool = \"a\"\n"));
-    house.wait("refused", || house.counter("files_refused") == 1);
-    assert_eq!(house.status("POST", "/pay", "after"), 200);
-    let log = std::fs::read_to_string(house.folder.join("log")).expect("the log");
+    agent.change(&(text("a") + "\n[[route]]\nname = \"last\"\nscheme = \"none\"\npool = \"a\"\n"));
+    agent.wait("refused", || agent.counter("files_refused") == 1);
+    assert_eq!(agent.status("POST", "/pay", "after"), 200);
+    let log = std::fs::read_to_string(agent.folder.join("log")).expect("the log");
     assert!(log.contains("nothing changes") && log.contains("no scheme of that name"), "it is told why");
 }
 
@@ -208,53 +208,55 @@
     let (a, b, c) = (Stand::new(Mode::Hang), Stand::new(Mode::Ok), Stand::new(Mode::Ok));
     let both = pool("old", std::slice::from_ref(&a), "")
         + &pool("new", &[b.clone(), c.clone()], "drain_grace_ms = 200.0");
-    let house =
-        House::start("goes", &(both.clone() + &route("pay", "pay", "old") + &route("look", "look", "new")));
+    let agent = AgentProcess::start(
+        "goes",
+        &(both.clone() + &route("pay", "pay", "old") + &route("look", "look", "new")),
+    );
     std::thread::scope(|scope| {
-        let held = scope.spawn(|| house.status("POST", "/pay", "held"));
-        house.wait("it is there", || a.seen().len() == 1);
-        house.change(
+        let held = scope.spawn(|| agent.status("POST", "/pay", "held"));
+        agent.wait("it is there", || a.seen().len() == 1);
+        agent.change(
             &(pool("new", std::slice::from_ref(&c), "drain_grace_ms = 200.0")
                 + &route("pay", "pay", "new")
                 + &route("look", "look", "new")),
         );
-        house.wait("taken", || house.counter("files_taken") == 1);
-        assert_eq!(house.status("POST", "/pay", "next"), 200);
+        agent.wait("taken", || agent.counter("files_taken") == 1);
+        assert_eq!(agent.status("POST", "/pay", "next"), 200);
         assert_eq!(held.join().expect("an answer"), 502, "under the terms it was taken with");
     });
     std::thread::sleep(Duration::from_millis(300));
     let before = b.seen().len();
     for n in 0..30 {
-        assert_eq!(house.status("GET", "/look", &n.to_string()), 200);
+        assert_eq!(agent.status("GET", "/look", &n.to_string()), 200);
     }
     assert_eq!(b.seen().len(), before, "nothing new past the grace");
 }
 
 #[test]
 fn who_changes_names_shares_the_part_of_all_others() {
-    let ill: Vec<Stand> = (0..12).map(|_| Stand::new(Mode::Hang)).collect();
+    let failing: Vec<Stand> = (0..12).map(|_| Stand::new(Mode::Hang)).collect();
     let well = [Stand::new(Mode::Ok)];
-    let text = pool("ill", &ill, "part = 0.5")
+    let text = pool("ill", &failing, "part = 0.5")
         + &pool("well", &well, "part = 0.2")
         + &route("ill", "pay", "ill")
         + &route("well", "look", "well")
         + "[limits]\nmemory_mb = 32\n[tenants]\nheader = \"X-Tenant\"\nshares = { acme = 0.6, zenith = 0.3 }\n";
-    let house = House::start("names", &text);
+    let agent = AgentProcess::start("names", &text);
     let full = AtomicUsize::new(0);
     std::thread::scope(|scope| {
         for n in 0..100 {
-            let (house, full) = (&house, &full);
+            let (agent, full) = (&agent, &full);
             scope.spawn(move || {
-                let heard = house.ask("POST", "/ill", &format!("X-Id: {n}\r\nX-Tenant: new-{n}\r\n"));
-                let full_now = heard.is_some_and(|m| m.header("x-notchspool-reason") == "TENANT_FULL");
+                let response = agent.ask("POST", "/ill", &format!("X-Id: {n}\r\nX-Tenant: new-{n}\r\n"));
+                let full_now = response.is_some_and(|m| m.header("x-notchspool-reason") == "TENANT_FULL");
                 full.fetch_add(usize::from(full_now), Ordering::Relaxed);
             });
         }
-        house.wait("the others are full", || full.load(Ordering::Relaxed) > 10);
+        agent.wait("the others are full", || full.load(Ordering::Relaxed) > 10);
         for tenant in ["acme", "zenith"] {
-            let heard =
-                house.ask("GET", "/well", &format!("X-Id: w\r\nX-Tenant: {tenant}\r\n")).expect("heard");
-            assert!(heard.first.contains("200"), "{tenant}: {}", heard.first);
+            let response =
+                agent.ask("GET", "/well", &format!("X-Id: w\r\nX-Tenant: {tenant}\r\n")).expect("heard");
+            assert!(response.first.contains("200"), "{tenant}: {}", response.first);
         }
     });
 }
@@ -267,23 +269,23 @@
         + &route("look", "look", "a")
         + &route("hang", "look", "a")
         + "[tenants]\nheader = \"X-Tenant\"\nshares = { bad = 0.5, good = 0.5 }\n";
-    let house = House::start("quotas", &text);
+    let agent = AgentProcess::start("quotas", &text);
     // Two seconds on, the agent knows that answers come with ease; its window has never been used.
     let began = Instant::now();
-    house.wait("some seconds of ease", || {
-        let settled = house.ask("GET", "/look", "X-Id: calm\r\nX-Tenant: good\r\n");
-        settled.is_some_and(|m| m.first.contains("200")) && began.elapsed() > Duration::from_millis(2_500)
+    agent.wait("some seconds of ease", || {
+        let succeeded = agent.ask("GET", "/look", "X-Id: calm\r\nX-Tenant: good\r\n");
+        succeeded.is_some_and(|m| m.first.contains("200")) && began.elapsed() > Duration::from_millis(2_500)
     });
-    let (hung, house) = (|tenant: &str| seen(&stands, tenant), &house);
+    let (hung, agent) = (|tenant: &str| seen(&stands, tenant), &agent);
     std::thread::scope(|scope| {
         for tenant in ["bad", "good"] {
             for n in 0..40 {
                 let named = format!("X-Id: {tenant}{n}\r\nX-Tenant: {tenant}\r\n");
-                scope.spawn(move || house.ask("GET", "/hang", &named));
+                scope.spawn(move || agent.ask("GET", "/hang", &named));
             }
-            house.wait("all of the bad are heard", || house.counter("unserved_window") >= 20);
+            agent.wait("all of the bad are heard", || agent.counter("unserved_window") >= 20);
         }
-        house.wait("all of the good are out", || hung("good") == 40);
+        agent.wait("all of the good are out", || hung("good") == 40);
         assert!(hung("bad") <= 20, "{} of 40 beyond the quota went out", hung("bad"));
         stands.iter().for_each(|s| s.set(Mode::Break));
     });
@@ -301,16 +303,16 @@
     for n in 0..10_000 {
         text += &route(&format!("r{n}"), "look", "a");
     }
-    let house = House::start("many", &text);
-    assert_eq!(house.status("GET", "/r9999/x", "1"), 200);
-    assert_eq!(house.status("GET", "/r10000", "2"), 404);
-    let file = house.folder.join("agent.toml");
+    let agent = AgentProcess::start("many", &text);
+    assert_eq!(agent.status("GET", "/r9999/x", "1"), 200);
+    assert_eq!(agent.status("GET", "/r10000", "2"), 404);
+    let file = agent.folder.join("agent.toml");
     let explain = Command::new(env!("CARGO_BIN_EXE_notchspool"))
         .args(["explain", &file.to_string_lossy(), "--path", "/r3"])
         .output()
         .expect("it runs");
-    let said = String::from_utf8_lossy(&explain.stdout);
-    assert!(said.contains("not `r2`: another path") && said.contains("route `r3`"), "{}", said.len());
+    let output = String::from_utf8_lossy(&explain.stdout);
+    assert!(output.contains("not `r2`: another path") && output.contains("route `r3`"), "{}", output.len());
 }
 
 #[test]
@@ -319,10 +321,10 @@
     let text = pool("a", std::slice::from_ref(&a), "")
         + &pool("b", std::slice::from_ref(&b), "")
         + "[[route]]\nname = \"both\"\nprefix = \"/both\"\nscheme = \"look\"\npools = { a = 0.5, b = 0.5 }\nsticky = \"header:X-Customer\"\n";
-    let house = House::start("sticky", &text);
+    let agent = AgentProcess::start("sticky", &text);
     for n in 0..120 {
-        let heard = house.ask("GET", "/both", &format!("X-Id: {}\r\nX-Customer: c{}\r\n", n % 20, n % 20));
-        assert!(heard.expect("heard").first.contains("200"));
+        let response = agent.ask("GET", "/both", &format!("X-Id: {}\r\nX-Customer: c{}\r\n", n % 20, n % 20));
+        assert!(response.expect("heard").first.contains("200"));
     }
     let (at_a, at_b) = (a.seen(), b.seen());
     assert!(at_a.len() + at_b.len() == 120 && !at_a.is_empty() && !at_b.is_empty());
@@ -334,19 +336,19 @@
 fn a_file_that_hangs_at_being_read_stops_nothing() {
     let stand = [Stand::new(Mode::Ok)];
     let text = pool("a", &stand, "") + &route("look", "look", "a");
-    let house = House::start("pipe", &text);
-    let (file, pipe) = (house.folder.join("agent.toml"), house.folder.join("pipe"));
+    let agent = AgentProcess::start("pipe", &text);
+    let (file, pipe) = (agent.folder.join("agent.toml"), agent.folder.join("pipe"));
     assert!(Command::new("mkfifo").arg(&pipe).status().expect("it runs").success());
     std::fs::rename(&pipe, &file).expect("in its place");
-    house.signal("-HUP");
+    agent.signal("-HUP");
     for n in 0..20 {
-        assert_eq!(house.status("GET", "/look", &n.to_string()), 200);
+        assert_eq!(agent.status("GET", "/look", &n.to_string()), 200);
     }
-    house.wait("refused", || house.counter("files_refused") == 1);
-    house.wait("told", || house.log().contains("can't be read in time"));
-    house.change(&(text + &route("more", "look", "a")));
-    house.wait("taken", || house.counter("files_taken") == 1);
-    assert_eq!(house.status("GET", "/more", "more"), 200);
+    agent.wait("refused", || agent.counter("files_refused") == 1);
+    agent.wait("told", || agent.log().contains("can't be read in time"));
+    agent.change(&(text + &route("more", "look", "a")));
+    agent.wait("taken", || agent.counter("files_taken") == 1);
+    assert_eq!(agent.status("GET", "/more", "more"), 200);
 }
 
 /// A new file lets clients wait for longer: an orderly end waits as long, whatever the first file said.
@@ -356,38 +358,38 @@
     let text = |expiry: u32| {
         pool("a", &hangs, "") + &route("pay", "pay", "a") + &format!("expiry_ms = {expiry}.0\n")
     };
-    let mut house = House::start("longer", &text(300));
-    house.change(&text(3000));
-    house.wait("taken", || house.counter("files_taken") == 1);
+    let mut agent = AgentProcess::start("longer", &text(300));
+    agent.change(&text(3000));
+    agent.wait("taken", || agent.counter("files_taken") == 1);
     let status = std::thread::scope(|scope| {
-        let held = scope.spawn(|| house.status("POST", "/pay", "held"));
-        house.wait("it is out", || hangs[0].seen().len() == 1);
-        house.signal("-TERM");
+        let held = scope.spawn(|| agent.status("POST", "/pay", "held"));
+        agent.wait("it is out", || hangs[0].seen().len() == 1);
+        agent.signal("-TERM");
         held.join().expect("an end")
     });
     assert_eq!(status, 502, "answered, though late");
-    assert!(house.child.wait().expect("an end").success());
+    assert!(agent.child.wait().expect("an end").success());
 }
 
 /// Every cut of a file: what is no sound file changes nothing and is named; no cut stops service or loses a txn. Where postings go
 /// before, while and after is counted by backend.
 #[test]
-fn half_written_and_wrong_files_in_mid_burst_move_no_posting() {
+fn half_written_and_mistaken_files_in_mid_burst_move_no_attempt() {
     let stands: Vec<Stand> = (0..3).map(|_| Stand::new(Mode::Slow)).collect();
     let good = pool("a", &stands[..2], "drain_grace_ms = 200.0")
         + &route("pay", "pay", "a")
         + &route("look", "look", "a");
-    let house = House::start("cuts", &good);
-    let (over, lost, asked) = (AtomicBool::new(false), AtomicUsize::new(0), AtomicUsize::new(0));
+    let agent = AgentProcess::start("cuts", &good);
+    let (over, lost, sent) = (AtomicBool::new(false), AtomicUsize::new(0), AtomicUsize::new(0));
     let counts = || stands.iter().map(|s| s.seen().len()).collect::<Vec<_>>();
     let mut table = Vec::new();
     std::thread::scope(|scope| {
         for thread in 0..3 {
-            let (house, over, lost, asked) = (&house, &over, &lost, &asked);
+            let (agent, over, lost, sent) = (&agent, &over, &lost, &sent);
             scope.spawn(move || {
                 while !over.load(Ordering::Relaxed) {
-                    let n = asked.fetch_add(1, Ordering::Relaxed);
-                    let status = house.status("POST", "/pay", &format!("{thread}-{n}"));
+                    let n = sent.fetch_add(1, Ordering::Relaxed);
+                    let status = agent.status("POST", "/pay", &format!("{thread}-{n}"));
                     lost.fetch_add(usize::from(status != 200), Ordering::Relaxed);
                 }
             });
@@ -402,22 +404,22 @@
         let some = || std::thread::sleep(Duration::from_millis(400));
         step("before", &mut || some());
         // A file without its second half; weights that are none; a backend that is the agent itself.
-        let whole = House::file(house.at, &good);
-        let file = house.folder.join("agent.toml");
-        let own = house.at;
+        let complete_file = AgentProcess::file(agent.at, &good);
+        let file = agent.folder.join("agent.toml");
+        let own = agent.at;
         let swapped = [
-            whole[..whole.len() / 2].to_owned(),
-            whole.replacen("size = 4.0", "size = nan", 1),
-            whole.replacen("size = 4.0", "size = -1.0", 1),
-            whole.replacen(&stands[0].at.to_string(), &own.to_string(), 1),
+            complete_file[..complete_file.len() / 2].to_owned(),
+            complete_file.replacen("size = 4.0", "size = nan", 1),
+            complete_file.replacen("size = 4.0", "size = -1.0", 1),
+            complete_file.replacen(&stands[0].at.to_string(), &own.to_string(), 1),
         ];
         let mut refused = 0;
         let gone = step("four wrong files", &mut || {
-            for wrong in &swapped {
-                std::fs::write(&file, wrong).expect("written");
-                house.signal("-HUP");
+            for mistaken in &swapped {
+                std::fs::write(&file, mistaken).expect("written");
+                agent.signal("-HUP");
                 refused += 1;
-                house.wait("refused", || house.counter("files_refused") == refused);
+                agent.wait("refused", || agent.counter("files_refused") == refused);
             }
             some();
         });
@@ -427,10 +429,10 @@
             + &route("pay", "pay", "a")
             + &route("look", "look", "a");
         step("two files at once", &mut || {
-            std::fs::write(&file, House::file(house.at, &good)).expect("written");
-            house.signal("-HUP");
-            house.change(&other);
-            house.wait("taken", || house.counter("files_taken") >= 1 && stands[2].seen().len() > 3);
+            std::fs::write(&file, AgentProcess::file(agent.at, &good)).expect("written");
+            agent.signal("-HUP");
+            agent.change(&other);
+            agent.wait("taken", || agent.counter("files_taken") >= 1 && stands[2].seen().len() > 3);
             std::thread::sleep(Duration::from_millis(300));
         });
         let gone = step("after", &mut || some());
@@ -443,8 +445,8 @@
     table.iter().for_each(|line| println!("{line}"));
     assert_eq!(lost.load(Ordering::Relaxed), 0);
     assert_eq!(doubled(&stands.iter().collect::<Vec<_>>()), Vec::<String>::new());
-    assert_eq!(counts().iter().sum::<usize>(), asked.load(Ordering::Relaxed), "each went to one place");
-    let log = house.log();
+    assert_eq!(counts().iter().sum::<usize>(), sent.load(Ordering::Relaxed), "each went to one place");
+    let log = agent.log();
     for named in [
         "agent.toml:",
         "`nan`: must lie between",
@@ -457,7 +459,7 @@
 
 /// A pool that goes on only for what it has in hand hears of drains all the same: nothing new goes past the grace.
 #[test]
-fn a_pool_that_closes_hears_of_drains_till_its_last_txn() {
+fn a_closing_pool_follows_drains_until_its_last_request() {
     let (stand, register) = (Stand::new(Mode::Hang), Register::new());
     register.tell("a", stand.at, "in_service");
     let text = |connect: u32| {
@@ -467,19 +469,19 @@
             route("look", "look", "a")
         )
     };
-    let house = House::start("closes", &text(250));
+    let agent = AgentProcess::start("closes", &text(250));
     std::thread::scope(|scope| {
         // Until the list is there it is declined.
         let held = scope.spawn(|| {
             let tries = (0..500).map(|_| {
                 std::thread::sleep(Duration::from_millis(10));
-                house.status("GET", "/look", "held")
+                agent.status("GET", "/look", "held")
             });
             tries.into_iter().find(|status| *status != 503 || !stand.seen().is_empty())
         });
-        house.wait("it is out", || stand.seen().len() == 1);
-        house.change(&text(260));
-        house.wait("taken", || house.counter("files_taken") == 1);
+        agent.wait("it is out", || stand.seen().len() == 1);
+        agent.change(&text(260));
+        agent.wait("taken", || agent.counter("files_taken") == 1);
         register.tell("a", stand.at, "terminating");
         std::thread::sleep(Duration::from_millis(600));
         stand.set(Mode::Ok);
@@ -511,29 +513,29 @@
             pool(name, &stands, "drain_grace_ms = 200.0") + &route("x", "look", name)
         )
     };
-    let house = House::start("door", &file("a"));
+    let agent = AgentProcess::start("door", &file("a"));
     assert!(order(door, "status").starts_with("OK"));
     assert!(order(door, "maint-on nobody").starts_with("ERR"));
     let out = format!("{}", stands[0].at);
-    assert!(order(door, &format!("maint-on {out}")).starts_with("OK"), "{}", house.log());
+    assert!(order(door, &format!("maint-on {out}")).starts_with("OK"), "{}", agent.log());
     std::thread::sleep(Duration::from_millis(300));
     let before = stands[0].seen().len();
     // The pool that takes the place of the first hears of it before it knows anybody.
-    house.change(&file("b"));
-    house.wait("the new file", || house.counter("files_taken") == 1);
+    agent.change(&file("b"));
+    agent.wait("the new file", || agent.counter("files_taken") == 1);
     for n in 0..40 {
-        assert_eq!(house.status("GET", "/x", &format!("d{n}")), 200);
+        assert_eq!(agent.status("GET", "/x", &format!("d{n}")), 200);
     }
-    assert_eq!(stands[0].seen().len(), before, "{}", house.log());
+    assert_eq!(stands[0].seen().len(), before, "{}", agent.log());
     assert!(order(door, &format!("maint-off {out}")).starts_with("OK"));
     let mut next = 100;
-    house.wait("it is back", || {
+    agent.wait("it is back", || {
         next += 1;
-        house.status("GET", "/x", &format!("d{next}"));
+        agent.status("GET", "/x", &format!("d{next}"));
         stands[0].seen().len() > before
     });
     assert!(order(door, "standby").starts_with("OK"));
-    assert_eq!(house.status("GET", "/-/healthz", "h"), 503);
+    assert_eq!(agent.status("GET", "/-/healthz", "h"), 503);
     assert!(order(door, "active").starts_with("OK"));
-    assert_eq!(house.status("GET", "/-/healthz", "h"), 200);
+    assert_eq!(agent.status("GET", "/-/healthz", "h"), 200);
 }
--- a/crates/cli/tests/scale.rs
+++ b/crates/cli/tests/scale.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn every_hollow_agent_is_told_the_list_configurations_and_drains() {
+fn every_hollow_agent_gets_the_list_configurations_and_drains() {
     let ran = scale(
         "--hollow 12 --proxies 1 --threads 2 --services 4 --routes 8 --seed 3 --span-s 1 --words 2 --drains 2 --changes 5 --claims 20",
     );
--- a/crates/cli/tests/standins/mod.rs
+++ b/crates/cli/tests/standins/mod.rs
@@ -137,21 +137,23 @@
     }
     pub fn serve(&self, mut io: TcpStream) {
         let mut reader = BufReader::new(io.try_clone().expect("a handle"));
-        while let Some(asked) = message(&mut reader, false) {
+        while let Some(request) = message(&mut reader, false) {
             let mode = self.mode();
             if mode == Mode::Down {
                 return;
             }
-            let id = [asked.header("x-id"), asked.header("x-trace-id")].into_iter().find(|id| !id.is_empty());
+            let id =
+                [request.header("x-id"), request.header("x-trace-id")].into_iter().find(|id| !id.is_empty());
             self.seen.lock().expect("seen").push(id.unwrap_or("").to_owned());
             // What a path asks for outranks the mode.
-            let hangs = asked.first.contains(" /hang");
-            let mode = match asked.first.split(' ').nth(1).unwrap_or("") {
+            let hangs = request.first.contains(" /hang");
+            let mode = match request.first.split(' ').nth(1).unwrap_or("") {
                 _ if hangs => Mode::Hang,
                 path if path.starts_with("/large") => Mode::Large,
                 _ => mode,
             };
-            *self.last.lock().expect("last") = format!("{} {:?} {}", asked.first, asked.headers, asked.body);
+            *self.last.lock().expect("last") =
+                format!("{} {:?} {}", request.first, request.headers, request.body);
             if mode == Mode::Slow {
                 std::thread::sleep(Duration::from_millis(20));
             }
@@ -159,7 +161,7 @@
                 let body = "x".repeat(60_000);
                 format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
             };
-            let said = match mode {
+            let answer = match mode {
                 Mode::Large => &large(),
                 Mode::Ok | Mode::Slow => "HTTP/1.1 200 OK\r\nX-Own: yes\r\nContent-Length: 3\r\n\r\nok\n",
                 Mode::Missing => "HTTP/1.1 404 Not Found\r\nX-Own: yes\r\nContent-Length: 5\r\n\r\nnone\n",
@@ -174,9 +176,9 @@
                 }
                 Mode::Break | Mode::Down => return,
             };
-            let head = asked.first.starts_with("HEAD");
-            let end = if head { said.find("\r\n\r\n").expect("a head") + 4 } else { said.len() };
-            if io.write_all(&said.as_bytes()[..end]).is_err() {
+            let head = request.first.starts_with("HEAD");
+            let end = if head { answer.find("\r\n\r\n").expect("a head") + 4 } else { answer.len() };
+            if io.write_all(&answer.as_bytes()[..end]).is_err() {
                 return;
             }
         }
@@ -207,11 +209,11 @@
         let mut reader = BufReader::new(io.try_clone().ok()?);
         message(&mut reader, false)?;
         io.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").ok()?;
-        let mut told = 0;
+        let mut sent_lines = 0;
         loop {
             let lines = self.lines.lock().expect("lines").clone();
-            let new = lines[told..].iter().map(|l| format!("{l}\n")).collect::<String>();
-            told = lines.len();
+            let new = lines[sent_lines..].iter().map(|l| format!("{l}\n")).collect::<String>();
+            sent_lines = lines.len();
             let text = if new.is_empty() { "\n".into() } else { new };
             io.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes()).ok()?;
             std::thread::sleep(Duration::from_millis(50));
@@ -229,12 +231,12 @@
     }
 }
 
-pub struct House {
+pub struct AgentProcess {
     pub child: Child,
     pub folder: PathBuf,
     pub at: SocketAddr,
 }
-impl Drop for House {
+impl Drop for AgentProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -242,7 +244,7 @@
     }
 }
 
-pub const SCHEMES: &str = r#"
+pub const CLASSES: &str = r#"
 [[scheme]]
 name = "look"
 kind = "repeatable"
@@ -267,23 +269,23 @@
         stands.iter().map(|s| format!("{{ at = \"{}\", size = 4.0 }}", s.at)).collect();
     format!("[[pool]]\nname = \"{name}\"\nmembers = [{}]\n{more}\n", members.join(", "))
 }
-pub fn route(name: &str, scheme: &str, pool: &str) -> String {
-    let method = if scheme != "look" { "method = [\"POST\"]" } else { "" };
+pub fn route(name: &str, class: &str, pool: &str) -> String {
+    let method = if class != "look" { "method = [\"POST\"]" } else { "" };
     format!(
-        "[[route]]\nname = \"{name}\"\nprefix = \"/{name}\"\nscheme = \"{scheme}\"\npool = \"{pool}\"\n{method}\n"
+        "[[route]]\nname = \"{name}\"\nprefix = \"/{name}\"\nscheme = \"{class}\"\npool = \"{pool}\"\n{method}\n"
     )
 }
 
-impl House {
+impl AgentProcess {
     pub fn file(at: SocketAddr, rest: &str) -> String {
-        format!("name = \"it\"\n{rest}\n[[listen]]\nname = \"main\"\nat = \"{at}\"\n{SCHEMES}")
+        format!("name = \"it\"\n{rest}\n[[listen]]\nname = \"main\"\nat = \"{at}\"\n{CLASSES}")
     }
-    pub fn start(name: &str, rest: &str) -> House {
+    pub fn start(name: &str, rest: &str) -> AgentProcess {
         let folder = std::env::temp_dir().join(format!("notchspool-house-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
         let at = unused();
         let file = folder.join("agent.toml");
-        std::fs::write(&file, House::file(at, &rest.replace("@folder", &folder.to_string_lossy())))
+        std::fs::write(&file, AgentProcess::file(at, &rest.replace("@folder", &folder.to_string_lossy())))
             .expect("the file");
         let log = std::fs::File::create(folder.join("log")).expect("a log");
         let child = Command::new(env!("CARGO_BIN_EXE_notchspool"))
@@ -293,14 +295,14 @@
             .stderr(Stdio::from(log))
             .spawn()
             .expect("the agent");
-        let house = House { child, folder, at };
-        house.wait("ready", || house.ask("GET", "/-/healthz", "").is_some_and(|m| m.first.contains("200")));
-        house
+        let agent = AgentProcess { child, folder, at };
+        agent.wait("ready", || agent.ask("GET", "/-/healthz", "").is_some_and(|m| m.first.contains("200")));
+        agent
     }
     pub fn change(&self, rest: &str) {
         // Whole or not at all, as an operator would.
         let file = self.folder.join("agent.toml");
-        std::fs::write(file.with_extension("new"), House::file(self.at, rest)).expect("the file");
+        std::fs::write(file.with_extension("new"), AgentProcess::file(self.at, rest)).expect("the file");
         std::fs::rename(file.with_extension("new"), &file).expect("the file");
         let kill = Command::new("kill").args(["-HUP", &self.child.id().to_string()]).status().expect("kill");
         assert!(kill.success());
@@ -320,8 +322,8 @@
         ask(self.at, method, path, headers)
     }
     pub fn status(&self, method: &str, path: &str, id: &str) -> u16 {
-        let heard = self.ask(method, path, &format!("X-Id: {id}\r\n"));
-        heard.map_or(0, |m| m.first.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0))
+        let response = self.ask(method, path, &format!("X-Id: {id}\r\n"));
+        response.map_or(0, |m| m.first.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0))
     }
     /// Kilobytes of memory that the agent holds now.
     pub fn memory_kb(&self) -> u64 {
