--- a/crates/fastcgi/examples/fuzz.rs
+++ b/crates/fastcgi/examples/fuzz.rs
@@ -52,18 +52,18 @@
         let mut server = ServerSide::new(ServerLimits { requests: 4, params: 1000, body: 1000 });
         let mut client = ClientSide::new(ClientLimits { stdout: 1000, stderr: 1000 });
         client.expect_answer(RequestId(1));
-        let (mut taken, mut heard) = (Vec::new(), Vec::new());
+        let (mut server_events, mut client_events) = (Vec::new(), Vec::new());
         let piece = 1 + chance.below(64);
-        let _ = bytes.chunks(piece).try_for_each(|p| server.receive(p, &mut taken));
-        let _ = bytes.chunks(piece).try_for_each(|p| client.receive(p, &mut heard));
+        let _ = bytes.chunks(piece).try_for_each(|p| server.receive(p, &mut server_events));
+        let _ = bytes.chunks(piece).try_for_each(|p| client.receive(p, &mut client_events));
         assert!(server.open_requests() <= 4, "{bytes:02x?}");
-        for event in &taken {
+        for event in &server_events {
             if let Event::Request(request) = event {
                 requests += 1;
                 let _ = cgi::parse_request(&request.params);
             }
         }
-        answers += heard.iter().filter(|e| matches!(e, client::Event::Answered(_))).count() as u64;
+        answers += client_events.iter().filter(|e| matches!(e, client::Event::Answered(_))).count() as u64;
         let _ = cgi::parse_answer(&Bytes::from(bytes));
         runs += 1;
     }
--- a/crates/fastcgi/src/client.rs
+++ b/crates/fastcgi/src/client.rs
@@ -176,7 +176,7 @@
             | RecordType::Stderr
             | RecordType::End
             | RecordType::GetValuesResult
-            | RecordType::UnknownType => Err(ProtocolError::WrongId(kind, id)),
+            | RecordType::UnknownType => Err(ProtocolError::UnexpectedId(kind, id)),
             other => Err(ProtocolError::UnexpectedType(other.number(), id)),
         }
     }
--- a/crates/fastcgi/src/error.rs
+++ b/crates/fastcgi/src/error.rs
@@ -11,7 +11,7 @@
     /// An application record of a type that there is not, or not from this side.
     UnexpectedType(u8, RequestId),
     /// A management record under a request's id, or the other way round.
-    WrongId(RecordType, RequestId),
+    UnexpectedId(RecordType, RequestId),
     /// A content of a length that its type can't have.
     ContentLength(RecordType, usize),
     /// A record for a request that was never begun.
@@ -41,7 +41,7 @@
             ProtocolError::UnexpectedType(number, id) => {
                 write!(f, "request {}: no record type {number} here", id.0)
             }
-            ProtocolError::WrongId(kind, id) => write!(f, "{kind:?} under id {}", id.0),
+            ProtocolError::UnexpectedId(kind, id) => write!(f, "{kind:?} under id {}", id.0),
             ProtocolError::ContentLength(kind, length) => write!(f, "{kind:?} of {length} bytes"),
             ProtocolError::NotOpen(kind, id) => {
                 write!(f, "{kind:?} for request {}, which is not open", id.0)
--- a/crates/fastcgi/src/server.rs
+++ b/crates/fastcgi/src/server.rs
@@ -145,7 +145,7 @@
             RecordType::Params => self.on_params(id, &content),
             RecordType::Stdin => self.on_stdin(id, &content, events),
             RecordType::Data if !self.partial.contains_key(&id) => Err(ProtocolError::NotOpen(kind, id)),
-            RecordType::GetValues => Err(ProtocolError::WrongId(kind, id)),
+            RecordType::GetValues => Err(ProtocolError::UnexpectedId(kind, id)),
             // Also data, which is of a role that is not taken.
             other => Err(ProtocolError::UnexpectedType(other.number(), id)),
         }
@@ -168,7 +168,7 @@
             | RecordType::Params
             | RecordType::Stdin
             | RecordType::Data => {
-                return Err(ProtocolError::WrongId(kind, MANAGEMENT));
+                return Err(ProtocolError::UnexpectedId(kind, MANAGEMENT));
             }
             other => {
                 let content = [other.number(), 0, 0, 0, 0, 0, 0, 0];
--- a/crates/fastcgi/tests/both_sides.rs
+++ b/crates/fastcgi/tests/both_sides.rs
@@ -53,9 +53,9 @@
         all.push(bytes.freeze());
     };
     one(RecordType::Begin, &[0, 1, FLAG_KEEP_CONNECTION, 0, 0, 0, 0, 0]);
-    let mut told = BytesMut::new();
-    params.iter().for_each(|pair| pairs::put(&mut told, &pair.name, &pair.value));
-    told.chunks(piece).for_each(|c| one(RecordType::Params, c));
+    let mut encoded_params = BytesMut::new();
+    params.iter().for_each(|pair| pairs::put(&mut encoded_params, &pair.name, &pair.value));
+    encoded_params.chunks(piece).for_each(|c| one(RecordType::Params, c));
     one(RecordType::Params, &[]);
     body.chunks(piece).for_each(|c| one(RecordType::Stdin, c));
     one(RecordType::Stdin, &[]);
@@ -86,35 +86,35 @@
     #![proptest_config(steady(150))]
 
     #[test]
-    fn requests_that_are_cut_and_mixed_are_taken_whole(
-        asked in vec((vec(pair(), 0..6), vec(any::<u8>(), 0..900)), 1..7),
+    fn requests_that_are_cut_and_mixed_are_read_completely(
+        requests in vec((vec(pair(), 0..6), vec(any::<u8>(), 0..900)), 1..7),
         cuts in vec(1usize..200, 1..20), picks in vec(0usize..7, 1..40),
         piece in 1usize..300, padding in any::<u8>(),
     ) {
         let id = |n: usize| RequestId(n as u16 * 257 + 1);
-        let rows = asked.iter().enumerate().map(|(n, (p, b))| records(id(n), p, b, piece, padding)).collect();
+        let rows = requests.iter().enumerate().map(|(n, (p, b))| records(id(n), p, b, piece, padding)).collect();
         let (mut server, mut events) = (ServerSide::new(BOUNDS), Vec::new());
         for piece in cut(&mix(rows, &picks), &cuts) {
             server.receive(&piece, &mut events).expect("nothing is wrong");
         }
-        prop_assert_eq!(events.len(), asked.len());
+        prop_assert_eq!(events.len(), requests.len());
         for event in events {
             let server::Event::Request(request) = event else { panic!("{event:?}") };
             let n = (request.id.0 as usize - 1) / 257;
-            prop_assert_eq!(&request.params, &asked[n].0);
-            prop_assert_eq!(&request.body[..], &asked[n].1[..]);
+            prop_assert_eq!(&request.params, &requests[n].0);
+            prop_assert_eq!(&request.body[..], &requests[n].1[..]);
         }
-        prop_assert_eq!(server.open_requests(), asked.len());
+        prop_assert_eq!(server.open_requests(), requests.len());
     }
 
     #[test]
-    fn answers_that_are_cut_and_mixed_come_to_who_asked(
-        said in vec((vec(any::<u8>(), 0..900), vec(any::<u8>(), 0..50), any::<u32>()), 1..7),
+    fn answers_that_are_cut_and_mixed_come_to_their_requests(
+        outputs in vec((vec(any::<u8>(), 0..900), vec(any::<u8>(), 0..50), any::<u32>()), 1..7),
         cuts in vec(1usize..200, 1..20), picks in vec(0usize..7, 1..40), piece in 1usize..300,
     ) {
         let mut client = ClientSide::new(ANSWERS);
         let mut rows = Vec::new();
-        for (n, (out, err, status)) in said.iter().enumerate() {
+        for (n, (out, err, status)) in outputs.iter().enumerate() {
             let id = RequestId(n as u16 + 1);
             client.expect_answer(id);
             let mut row = Vec::new();
@@ -139,9 +139,9 @@
             client::Event::Answered(answer) => Some(answer),
             _ => None,
         }).collect();
-        prop_assert_eq!(answers.len(), said.len());
+        prop_assert_eq!(answers.len(), outputs.len());
         for answer in answers {
-            let (out, err, status) = &said[answer.id.0 as usize - 1];
+            let (out, err, status) = &outputs[answer.id.0 as usize - 1];
             prop_assert_eq!(&answer.stdout[..], &out[..]);
             prop_assert_eq!(&answer.stderr[..], &err[..]);
             prop_assert!(answer.is_complete && answer.app_status == *status);
@@ -150,25 +150,25 @@
     }
 
     #[test]
-    fn what_is_asked_is_taken_and_its_answer_heard(
+    fn an_encoded_request_is_read_and_so_is_its_answer(
         params in vec(pair(), 0..6), body in vec(any::<u8>(), 0..900), answer in vec(any::<u8>(), 0..900),
         keep in any::<bool>(),
     ) {
         let (mut client, mut server) = (ClientSide::new(ANSWERS), ServerSide::new(BOUNDS));
-        let asked = client::encode_request(RequestId(7), keep, &params, &body);
+        let requests = client::encode_request(RequestId(7), keep, &params, &body);
         client.expect_answer(RequestId(7));
         let mut events = Vec::new();
         // Up to where a server may begin it has nothing to begin with.
-        server.receive(&asked.bytes[..asked.begins_at - 1], &mut events).expect("sound");
+        server.receive(&requests.bytes[..requests.begins_at - 1], &mut events).expect("sound");
         prop_assert!(events.is_empty());
-        server.receive(&asked.bytes[asked.begins_at - 1..], &mut events).expect("sound");
-        let whole = matches!(&events[..], [server::Event::Request(r)] if r.params == params && r.body == body);
-        prop_assert!(whole);
+        server.receive(&requests.bytes[requests.begins_at - 1..], &mut events).expect("sound");
+        let is_complete = matches!(&events[..], [server::Event::Request(r)] if r.params == params && r.body == body);
+        prop_assert!(is_complete);
         let answered = server.answer(RequestId(7), &answer, ProtocolStatus::Complete).expect("it is open");
         prop_assert_eq!(answered.closes_connection, !keep);
-        let mut heard = Vec::new();
-        client.receive(&answered.bytes, &mut heard).expect("sound");
-        let Some(client::Event::Answered(a)) = heard.last() else { panic!("{heard:?}") };
+        let mut client_events = Vec::new();
+        client.receive(&answered.bytes, &mut client_events).expect("sound");
+        let Some(client::Event::Answered(a)) = client_events.last() else { panic!("{client_events:?}") };
         prop_assert!(a.is_complete && a.stdout == answer && a.status == ProtocolStatus::Complete);
         prop_assert!(server.answer(RequestId(7), b"", ProtocolStatus::Complete).is_none(), "once");
     }
@@ -228,8 +228,8 @@
 #[case::answer_from_a_client(vec![rec(6, 1, b"x")], ProtocolError::UnexpectedType(6, RequestId(1)))]
 #[case::begin_too_short(vec![rec(1, 1, &[0, 1, 1])], ProtocolError::ContentLength(RecordType::Begin, 3))]
 #[case::begin_too_long(vec![rec(1, 1, &[0; 9])], ProtocolError::ContentLength(RecordType::Begin, 9))]
-#[case::begin_as_management(vec![rec(1, 0, &BEGIN)], ProtocolError::WrongId(RecordType::Begin, RequestId(0)))]
-#[case::values_of_a_request(vec![rec(9, 1, b"")], ProtocolError::WrongId(RecordType::GetValues, RequestId(1)))]
+#[case::begin_as_management(vec![rec(1, 0, &BEGIN)], ProtocolError::UnexpectedId(RecordType::Begin, RequestId(0)))]
+#[case::values_of_a_request(vec![rec(9, 1, b"")], ProtocolError::UnexpectedId(RecordType::GetValues, RequestId(1)))]
 #[case::never_begun(vec![rec(4, 1, b"")], ProtocolError::NotOpen(RecordType::Params, RequestId(1)))]
 #[case::begun_twice(vec![rec(1, 1, &BEGIN), rec(1, 1, &BEGIN)], ProtocolError::BegunTwice(RequestId(1)))]
 #[case::stdin_first(vec![rec(1, 1, &BEGIN), rec(5, 1, b"x")], ProtocolError::StdinBeforeParams(RequestId(1)))]
@@ -244,9 +244,9 @@
     ProtocolError::BodyTooLong(RequestId(1), 70_000))]
 fn bad_requests_are_named(#[case] records: Vec<Vec<u8>>, #[case] wanted: ProtocolError) {
     let (mut server, mut events) = (ServerSide::new(BOUNDS), Vec::new());
-    let wrong = records.iter().try_for_each(|r| server.receive(r, &mut events)).expect_err("it is wrong");
-    assert_eq!(wrong, wanted);
-    assert!(!wrong.to_string().is_empty());
+    let error = records.iter().try_for_each(|r| server.receive(r, &mut events)).expect_err("it is wrong");
+    assert_eq!(error, wanted);
+    assert!(!error.to_string().is_empty());
 }
 
 #[rstest]
@@ -259,23 +259,27 @@
 fn bad_answers_are_named(#[case] records: Vec<Vec<u8>>, #[case] wanted: ProtocolError) {
     let (mut client, mut events) = (ClientSide::new(ANSWERS), Vec::new());
     client.expect_answer(RequestId(1));
-    let wrong = records.iter().try_for_each(|r| client.receive(r, &mut events)).expect_err("it is wrong");
-    assert_eq!(wrong, wanted);
+    let error = records.iter().try_for_each(|r| client.receive(r, &mut events)).expect_err("it is wrong");
+    assert_eq!(error, wanted);
 }
 
 /// What a server says to some records, as the other side hears it.
-fn said(bounds: ServerLimits, ids: &[u16], records: &[Vec<u8>]) -> (Vec<client::Event>, Vec<server::Event>) {
+fn events_of_both(
+    bounds: ServerLimits,
+    ids: &[u16],
+    records: &[Vec<u8>],
+) -> (Vec<client::Event>, Vec<server::Event>) {
     let (mut server, mut client) = (ServerSide::new(bounds), ClientSide::new(ANSWERS));
     ids.iter().for_each(|id| client.expect_answer(RequestId(*id)));
-    let (mut events, mut heard) = (Vec::new(), Vec::new());
+    let (mut events, mut client_events) = (Vec::new(), Vec::new());
     records.iter().for_each(|r| server.receive(r, &mut events).expect("sound"));
     for event in &events {
         // What is said of an id that is heard of no more is of no interest here.
         if let server::Event::Send(bytes) = event {
-            let _ = client.receive(bytes, &mut heard);
+            let _ = client.receive(bytes, &mut client_events);
         }
     }
-    (heard, events)
+    (client_events, events)
 }
 
 #[rstest]
@@ -296,15 +300,15 @@
     }
     // The rest of it is on its way already, and is no fault.
     records.extend([rec(1, 1, &begin), rec(4, 1, b""), rec(5, 1, b"abc"), rec(5, 1, b"")]);
-    let (heard, events) = said(bounds, &[1], &records);
+    let (client_events, events) = events_of_both(bounds, &[1], &records);
     assert!(
-        matches!(&heard[..], [client::Event::Answered(a)] if a.status == ended && a.id == RequestId(1)),
-        "{heard:?}"
+        matches!(&client_events[..], [client::Event::Answered(a)] if a.status == ended && a.id == RequestId(1)),
+        "{client_events:?}"
     );
     assert!(!events.iter().any(|e| matches!(e, server::Event::Request(_))));
     // Then the id may be used again, for what can be taken.
     records.extend([rec(1, 1, &BEGIN), rec(4, 1, b""), rec(5, 1, b"")]);
-    let (_, events) = said(bounds, &[1], &records);
+    let (_, events) = events_of_both(bounds, &[1], &records);
     assert_eq!(
         events.iter().any(|e| matches!(e, server::Event::Request(_))),
         ended == ProtocolStatus::UnknownRole
@@ -320,26 +324,26 @@
         rec(5, 1, b""),
         rec(1, 1, &BEGIN),
     ];
-    let (heard, events) = said(BOUNDS, &[1], &half);
-    assert!(matches!(&heard[..], [client::Event::Answered(_)]), "its end: {heard:?}");
+    let (client_events, events) = events_of_both(BOUNDS, &[1], &half);
+    assert!(matches!(&client_events[..], [client::Event::Answered(_)]), "its end: {client_events:?}");
     assert_eq!(events.len(), 1, "and the id was begun anew");
     let out = [rec(1, 1, &BEGIN), rec(4, 1, b""), rec(5, 1, b""), rec(2, 1, b"")];
-    let (_, events) = said(BOUNDS, &[], &out);
+    let (_, events) = events_of_both(BOUNDS, &[], &out);
     assert!(
         matches!(&events[..], [server::Event::Request(_), server::Event::Aborted(RequestId(1))]),
         "{events:?}"
     );
-    let (_, events) = said(BOUNDS, &[], &[rec(2, 5, b"")]);
+    let (_, events) = events_of_both(BOUNDS, &[], &[rec(2, 5, b"")]);
     assert!(events.is_empty(), "of one that is over already");
 }
 
 #[test]
-fn values_are_the_real_bounds_and_what_is_unknown_is_said_so() {
+fn values_are_the_real_bounds_and_unknown_types_are_reported() {
     let mut ask = Vec::from(&client::encode_get_values()[..]);
     ask.extend(rec(42, 0, b""));
-    let (heard, _) = said(BOUNDS, &[], &[ask]);
-    let [client::Event::Values(values), client::Event::UnknownType(42)] = &heard[..] else {
-        panic!("{heard:?}")
+    let (client_events, _) = events_of_both(BOUNDS, &[], &[ask]);
+    let [client::Event::Values(values), client::Event::UnknownType(42)] = &client_events[..] else {
+        panic!("{client_events:?}")
     };
     let value = |name: &str| values.iter().find(|v| v.name == name.as_bytes()).map(|v| v.value.clone());
     assert_eq!(value("FCGI_MAX_REQS").expect("told"), "8");
--- a/crates/fastcgi/tests/corpus.rs
+++ b/crates/fastcgi/tests/corpus.rs
@@ -16,13 +16,13 @@
             format!("asked {} ({} params, {} bytes)", r.id.0, r.params.len(), r.body.len())
         }
         server::Event::Aborted(id) => format!("aborted {}", id.0),
-        server::Event::Send(said) => format!("says {} bytes", said.len()),
+        server::Event::Send(bytes) => format!("says {} bytes", bytes.len()),
         server::Event::Close => "closes".into(),
     };
-    told(events.iter().map(word).collect(), ended.err().map(|w| w.to_string()))
+    outcome(events.iter().map(word).collect(), ended.err().map(|w| w.to_string()))
 }
 
-fn asked(bytes: &[u8], piece: usize) -> String {
+fn read_by_client(bytes: &[u8], piece: usize) -> String {
     let mut client = ClientSide::new(ClientLimits { stdout: 1000, stderr: 1000 });
     client.expect_answer(RequestId(1));
     let mut events = Vec::new();
@@ -37,11 +37,11 @@
     };
     let mut words: Vec<String> = events.iter().map(word).collect();
     words.dedup();
-    told(words, ended.err().map(|w| w.to_string()))
+    outcome(words, ended.err().map(|w| w.to_string()))
 }
 
-fn told(mut words: Vec<String>, wrong: Option<String>) -> String {
-    words.extend(wrong.map(|w| format!("wrong: {w}")));
+fn outcome(mut words: Vec<String>, error: Option<String>) -> String {
+    words.extend(error.map(|w| format!("wrong: {w}")));
     if words.is_empty() { "nothing yet".into() } else { words.join("; ") }
 }
 
@@ -54,7 +54,7 @@
     let byte = |pair: &[u8]| u8::from_str_radix(std::str::from_utf8(pair).expect("hex"), 16).expect("hex");
     let bytes: Vec<u8> = hex.chunks(2).map(byte).collect();
     for piece in 1..=bytes.len() {
-        let found = if side == "take" { taken(&bytes, piece) } else { asked(&bytes, piece) };
+        let found = if side == "take" { taken(&bytes, piece) } else { read_by_client(&bytes, piece) };
         assert_eq!(found, wanted, "in pieces of {piece}");
     }
 }
--- a/crates/fleet-protocol/tests/owner_search.rs
+++ b/crates/fleet-protocol/tests/owner_search.rs
@@ -2,7 +2,7 @@
 use notchspool_fleet_protocol::owner_search::OwnerSearch;
 
 #[test]
-fn the_owner_is_asked_within_two_attempts_a_controller_whatever_the_others_name() {
+fn the_owner_is_reached_within_two_attempts_a_controller_whatever_the_others_name() {
     const CONTROLLERS: usize = 5;
     for nth in 0..6_usize.pow(CONTROLLERS as u32) {
         let names: [Option<u16>; CONTROLLERS] = std::array::from_fn(|n| {
--- a/crates/wirehost/tests/wire.rs
+++ b/crates/wirehost/tests/wire.rs
@@ -19,8 +19,8 @@
     (replies, String::from_utf8_lossy(&done.stderr).into_owned(), done.status.code())
 }
 
-fn batch(at: f64, news: &str) -> String {
-    format!(r#"{{"momentMs":{at},"news":[{news}]}}"#)
+fn batch(at: f64, updates: &str) -> String {
+    format!(r#"{{"momentMs":{at},"news":[{updates}]}}"#)
 }
 
 #[test]
