--- a/crates/agent/src/process/platform_agent.rs
+++ b/crates/agent/src/process/platform_agent.rs
@@ -110,14 +110,7 @@
         None => bind(listen, &listen.to_string()).await?,
     });
     if let (Some(address), Some(shared_state)) = (config.management, shared_state.clone()) {
-        let listener = bind(address, &format!("management {address}")).await?;
-        let lists = vec![parts.list.clone()];
-        Management {
-            state: state.clone(),
-            lists: Box::new(move || lists.clone()),
-            set_ban: Box::new(move |id, banned| shared_state.set_ban(id, banned)),
-        }
-        .listen(listener);
+        listen_for_operators(address, &state, &parts, shared_state).await?;
         log::info!("{name}: management at {address}");
     }
     if state.is_socket_inherited {
@@ -134,6 +127,24 @@
     })
 }
 
+/// The address for operators.
+async fn listen_for_operators(
+    address: SocketAddr,
+    state: &Rc<FrontState>,
+    parts: &Parts,
+    shared_state: Rc<SharedState>,
+) -> io::Result<()> {
+    let listener = bind(address, &format!("management {address}")).await?;
+    let lists = vec![parts.list.clone()];
+    let management = Management {
+        state: state.clone(),
+        lists: Box::new(move || lists.clone()),
+        set_ban: Box::new(move |id, banned| shared_state.set_ban(id, banned)),
+    };
+    management.listen(listener);
+    Ok(())
+}
+
 /// Listens; an error names what for.
 async fn bind(address: SocketAddr, purpose: &str) -> io::Result<TcpListener> {
     let bound = TcpListener::bind(address).await;
