--- a/crates/fleet-controller/src/lib.rs
+++ b/crates/fleet-controller/src/lib.rs
@@ -1,8 +1,8 @@
 //! A controller of a fleet of agents (`notchspool keeper`): a voter with its disk, a contender for the ownership of the fleet's commands, and,
 //! while it is the owner, the controller of those commands.
 //!
-//! The voter's disk has a thread of its own ([`voter`]), so that a disk that hangs stops one vote and no lease of others. All else is one event
-//! loop ([`event_loop`]) over one state ([`node`]).
+//! The voter's disk has a thread of its own (`voter`), so that a disk that hangs stops one vote and no lease of others. All else is one event
+//! loop (`event_loop`) over one state (`node`).
 #![warn(missing_docs, clippy::missing_errors_doc)]
 
 pub mod acceptor_store;
--- a/crates/rollout/src/counts.rs
+++ b/crates/rollout/src/counts.rs
@@ -3,7 +3,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Buckets of response times: the upper bound of each is [`BUCKET_RATIO`] times that of the one before, from 1 ms on.
+/// Buckets of response times: the upper bound of each is 1.1 times that of the one before, from 1 ms on.
 pub const BUCKETS: usize = 96;
 const BUCKET_RATIO: f64 = 1.1;
 
