--- a/crates/cli/tests/owner.rs
+++ b/crates/cli/tests/owner.rs
@@ -94,7 +94,7 @@
         CommandRequest {
             id: id.into(),
             author: "test".into(),
-            kind: kind,
+            kind,
             targets: Selector { all: true, ..Selector::default() },
             within_us: within_ms * 1000,
             max_unavailable: None,
@@ -615,7 +615,7 @@
                     job: "orders".into(),
                     epoch: Epoch(1),
                     revision: Revision(revision),
-                    kind: kind,
+                    kind,
                 },
             );
         }
@@ -676,7 +676,7 @@
         job: "orders".into(),
         epoch: Epoch(1),
         revision: Revision(revision),
-        kind: kind,
+        kind,
     };
     let token = notchspool_consensus::Token;
     // Its first own connection; what its empty folder makes it ask comes on others.
