--- a/crates/data-plane/src/inbound.rs
+++ b/crates/data-plane/src/inbound.rs
@@ -1,6 +1,6 @@
 //! Requests for the backend of this machine: the instance that was meant, the key, the queue, the backend. What is refused here has not run
 //! and never will.
-use std::cell::RefCell;
+use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
 
@@ -41,6 +41,24 @@
     operations: RefCell<Operations>,
     /// Requests that are queued for the backend.
     queued: RefCell<HashMap<QueueTicket, oneshot::Sender<()>>>,
+    /// Requests that the backend works on, counted at their beginning and end, whatever admission makes of them.
+    running: Cell<usize>,
+}
+
+/// Counts a request while the backend works on it.
+struct RunningCount(Rc<Inbound>);
+
+impl RunningCount {
+    fn new(inbound: &Rc<Inbound>) -> RunningCount {
+        inbound.running.set(inbound.running.get() + 1);
+        RunningCount(inbound.clone())
+    }
+}
+
+impl Drop for RunningCount {
+    fn drop(&mut self) {
+        self.0.running.set(self.0.running.get() - 1);
+    }
 }
 
 /// A slot at the backend; given back whatever becomes of the request.
@@ -121,6 +139,7 @@
             link_load,
             operations: RefCell::new(operations),
             queued: RefCell::default(),
+            running: Cell::new(0),
         }
     }
 
@@ -139,6 +158,11 @@
         self.backend.admission().in_flight() > 0 || self.link_load.unsent_bytes() > 0
     }
 
+    /// Requests that the backend works on.
+    pub fn running(&self) -> usize {
+        self.running.get()
+    }
+
     /// Something happened to the backend; the replicas are told where it changes what others have to know.
     pub fn on_backend_event(&self, event: BackendEvent) {
         if self.backend.apply(event) {
@@ -370,7 +394,9 @@
 
     async fn run(self: Rc<Inbound>, mut slot: Slot, request: &Request, deadline: Micros) -> PeerResponse {
         let started_at = self.context.now();
+        let running = RunningCount::new(&self);
         let BackendOutcome { mut response, rest } = self.client.send(request, deadline).await;
+        drop(running);
         let took = self.context.now() - started_at;
         match response.verdict() {
             Verdict::Answered => {
--- a/crates/data-plane/src/run.rs
+++ b/crates/data-plane/src/run.rs
@@ -208,10 +208,17 @@
     shut_down(&proxy, &outbound, &close_outbound, grace).await;
     // Those who wait for it are gone where this fails.
     let _ = close_api.send(true);
-    log::info!(target: "proxy", "ended");
+    log::info!(target: "proxy", "ended, {}", in_flight_text(&proxy));
     Ok(())
 }
 
+/// What is in flight, for the log. The two figures of the backend differ by what admission reserves, at most by one.
+fn in_flight_text(proxy: &Proxy) -> String {
+    let (begun_here, running) = (proxy.outbound.in_flight(), proxy.inbound.running());
+    let admitted = proxy.backend.admission().in_flight();
+    format!("{begun_here} requests begun here, {admitted} admitted to the backend, {running} running there")
+}
+
 /// Ends in order, within the grace period.
 async fn shut_down(
     proxy: &Proxy,
@@ -230,6 +237,7 @@
     }
     // Those who wait for it are gone where this fails.
     let _ = close_outbound.send(true);
+    log::info!(target: "proxy", "no more requests are taken from clients, {}", in_flight_text(proxy));
     // The backend goes on: others send to it until the end, and are told before that.
     proxy.backend.set_proxy_leaving();
     proxy.control.report_endpoint();
