--- a/crates/data-plane/src/admission.rs
+++ b/crates/data-plane/src/admission.rs
@@ -2,6 +2,7 @@
 //!
 //! It has the last word: what it rejects has not run and never will. Invariants (`tests/admission.rs`): no more than the backend's slots and
 //! one are in flight; nothing is queued that would not be answered in time.
+use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
 use notchspool::units::Micros;
@@ -11,6 +12,9 @@
 /// The part of what is left of a request's time that it may be queued, at most and where it will be late.
 const MAX_WAIT_PART: f64 = 0.4;
 const LATE_WAIT_PART: f64 = 0.02;
+/// A call may be queued for this part of its time: its caller holds a slot elsewhere for as long, and its work is lost where the call is
+/// refused.
+const MAX_CALL_WAIT_PART: f64 = 0.6;
 /// What is left until the latency target, after so many times the usual work, may be waited for to this part: work is uneven.
 const WORK_MARGIN: f64 = 1.3;
 const TARGET_WAIT_PART: f64 = 0.4;
@@ -50,6 +54,9 @@
 /// A request that wants to begin.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
+    /// How many requests wait for this one to be done. What was begun is finished before anything new is begun: a call that is refused, or
+    /// late, throws away the work of all that wait for it.
+    pub call_depth: u32,
     /// 0 is the highest.
     pub priority: u32,
     /// Work of one kind takes about as long: its route's latency target, in milliseconds.
@@ -67,9 +74,10 @@
     expected_us: f64,
 }
 
-/// The order of the queue: by priority, then those that can still be in time, then by latency target, then by arrival.
+/// The order of the queue: calls by depth, then by priority, then those that can still be in time, then by latency target, then by arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueKey {
+    call_depth: Reverse<u32>,
     priority: u32,
     is_late: bool,
     target_us: i64,
@@ -131,6 +139,7 @@
         let expected_us = self.mean_us_by_kind.get(&candidate.kind).copied().unwrap_or(self.mean_us);
         let ticket = self.last_ticket + 1;
         let key = QueueKey {
+            call_depth: Reverse(candidate.call_depth),
             priority: candidate.priority,
             is_late: ((candidate.target_at - now).0 as f64) < expected_us,
             target_us: candidate.target_at.0,
@@ -167,6 +176,7 @@
     /// A request of this kind that was in flight is done, `took` where it was measured. Gives the one that begins next.
     pub fn release(&mut self, now: Micros, kind: u32, took: Option<Micros>) -> Option<QueueTicket> {
         self.update_utilisation(now);
+        debug_assert!(self.in_flight > 0, "a slot that was given back twice");
         self.in_flight = self.in_flight.saturating_sub(1);
         if let Some(took) = took {
             self.measure(kind, took.0 as f64);
@@ -215,6 +225,9 @@
 fn max_wait(now: Micros, candidate: &Candidate, expected_us: f64) -> Micros {
     let to_target = candidate.target_at - now;
     let to_deadline = candidate.deadline - now;
+    if candidate.call_depth > 0 {
+        return to_deadline.times(MAX_CALL_WAIT_PART);
+    }
     let spare = to_target - Micros(expected_us as i64).times(WORK_MARGIN);
     spare.times(TARGET_WAIT_PART).max(to_deadline.times(LATE_WAIT_PART)).min(to_deadline.times(MAX_WAIT_PART))
 }
--- a/crates/data-plane/src/attempts.rs
+++ b/crates/data-plane/src/attempts.rs
@@ -9,7 +9,9 @@
 /// With less time left nobody asks whether a key was claimed.
 const MIN_TIME_FOR_FENCE: Micros = Micros::ms(60);
 /// Proxies that may refuse one request before it is given up.
-const MAX_REFUSALS: u32 = 4;
+pub const MAX_REFUSALS: u32 = 4;
+/// And a call: whoever made it can only fail without it, and does not come back.
+pub const MAX_CALL_REFUSALS: u32 = 10;
 /// When a refused client is to come back, where nobody told.
 const DEFAULT_RETRY_AFTER: Micros = Micros::ms(60);
 
@@ -20,6 +22,8 @@
     pub idempotent: bool,
     /// Backends to which it may be sent at most.
     pub max_attempts: u32,
+    /// Proxies that may refuse it before it is given up.
+    pub max_refusals: u32,
     /// It is answered by this.
     pub deadline: Micros,
     /// Of a keyed operation: its claim.
@@ -183,7 +187,8 @@
 
     fn on_answer(&mut self, now: Micros, response: &Response, try_spend: &dyn Fn() -> bool) -> Action {
         let is_failure = response.status >= 500;
-        if is_failure && self.policy.idempotent && self.may_retry(now, try_spend) {
+        // Where a call has failed another backend would fail, too: its whole work would only be done again.
+        if is_failure && !response.call_failed && self.policy.idempotent && self.may_retry(now, try_spend) {
             self.may_have_run = true;
             self.reason = format!("status {}", response.status);
             return Action::Retry;
@@ -202,7 +207,7 @@
 
     fn on_not_run(&mut self, now: Micros, is_final: bool, try_spend: &dyn Fn() -> bool) -> Action {
         self.refusals += 1;
-        if is_final || self.refusals >= MAX_REFUSALS || !self.may_retry(now, try_spend) {
+        if is_final || self.refusals >= self.policy.max_refusals || !self.may_retry(now, try_spend) {
             return self.give_up(now);
         }
         Action::Retry
--- a/crates/data-plane/src/inbound.rs
+++ b/crates/data-plane/src/inbound.rs
@@ -18,6 +18,7 @@
 use crate::link_load::LinkLoad;
 use crate::local_backend::{LocalBackend, Unavailable};
 use crate::peer_link::{PeerResponse, without_answer};
+use crate::running_requests::{Origin, RunningRequests};
 
 /// The part of its latency target for which a large response may find the link at work.
 const MAX_BACKLOG_PART: f64 = 0.3;
@@ -29,6 +30,8 @@
 const RESPONSE_CACHE_MEMORY_PART: u64 = 5;
 const MIN_RESPONSE_CACHE_MB: u64 = 4;
 const MAX_RETRY_AFTER_MS: i64 = 60_000;
+/// Statuses from here on tell that the backend failed.
+const FAILURE_STATUS: u32 = 500;
 
 /// Serves requests with the backend of this machine.
 pub struct Inbound {
@@ -39,29 +42,36 @@
     control: Rc<ControlClient>,
     link_load: Rc<LinkLoad>,
     operations: RefCell<Operations>,
-    /// Requests that are queued for the backend.
-    queued: RefCell<HashMap<QueueTicket, oneshot::Sender<()>>>,
-    /// Requests that the backend works on, counted at their beginning and end, whatever admission makes of them.
-    running: Cell<usize>,
+    /// Requests that are queued for the backend. Whoever is let in is handed its slot.
+    queued: RefCell<HashMap<QueueTicket, oneshot::Sender<Slot>>>,
+    /// Requests that the backend works on.
+    running: Rc<RunningRequests>,
+    /// Requests that were taken and have no response yet.
+    serving: Cell<usize>,
+    /// This proxy ends: nothing more begins at the backend here.
+    is_draining: Cell<bool>,
+    /// When this proxy ends, once that is known.
+    ends_at: Cell<Option<Micros>>,
 }
 
-/// Counts a request while the backend works on it.
-struct RunningCount(Rc<Inbound>);
+/// Counts a request from its arrival to its response.
+struct ServingCount(Rc<Inbound>);
 
-impl RunningCount {
-    fn new(inbound: &Rc<Inbound>) -> RunningCount {
-        inbound.running.set(inbound.running.get() + 1);
-        RunningCount(inbound.clone())
+impl ServingCount {
+    fn new(inbound: &Rc<Inbound>) -> ServingCount {
+        inbound.serving.set(inbound.serving.get() + 1);
+        ServingCount(inbound.clone())
     }
 }
 
-impl Drop for RunningCount {
+impl Drop for ServingCount {
     fn drop(&mut self) {
-        self.0.running.set(self.0.running.get() - 1);
+        self.0.serving.set(self.0.serving.get() - 1);
     }
 }
 
-/// A slot at the backend; given back whatever becomes of the request.
+/// A slot at the backend. There is one for each request that admission counts as in flight, made where it is admitted and given back by its
+/// drop, whoever holds it then: so the count can't go wrong.
 struct Slot {
     inbound: Rc<Inbound>,
     kind: u32,
@@ -76,11 +86,10 @@
     }
 }
 
-/// A place in the queue, left whatever becomes of the request.
+/// A place in the queue, left whatever becomes of the request. Who was let in, displaced or sent away is not queued any more.
 struct QueuePlace {
     inbound: Rc<Inbound>,
     ticket: QueueTicket,
-    is_admitted: bool,
 }
 
 impl Drop for QueuePlace {
@@ -88,13 +97,29 @@
         let is_queued = self.inbound.queued.borrow_mut().remove(&self.ticket).is_some();
         if is_queued {
             self.inbound.backend.admission().cancel(self.inbound.context.now(), self.ticket);
-        } else if !self.is_admitted {
-            // It was admitted and nobody came: the slot goes to the next.
-            drop(Slot { inbound: self.inbound.clone(), kind: 0, took: None });
         }
     }
 }
 
+/// A request that came, and what its times mean by the clock here.
+struct Arrival {
+    request: Request,
+    origin: Origin,
+    deadline: Micros,
+}
+
+impl Arrival {
+    fn new(request: Request, now: Micros) -> Arrival {
+        let origin = Origin {
+            call_depth: request.call_depth,
+            priority: request.priority,
+            target_at: now + Micros::ms(i64::from(request.target_left_ms)),
+        };
+        let deadline = now + Micros::ms(i64::from(request.time_left_ms));
+        Arrival { request, origin, deadline }
+    }
+}
+
 /// A claim that is not yet known to have led to anything; withdrawn where the request is dropped before it began.
 struct ClaimGuard {
     inbound: Rc<Inbound>,
@@ -123,6 +148,7 @@
         claims: Rc<ClaimClient>,
         control: Rc<ControlClient>,
         link_load: Rc<LinkLoad>,
+        running: Rc<RunningRequests>,
     ) -> Inbound {
         let (key_window, memory_mb) = {
             let settings = context.settings();
@@ -139,7 +165,10 @@
             link_load,
             operations: RefCell::new(operations),
             queued: RefCell::default(),
-            running: Cell::new(0),
+            running,
+            serving: Cell::new(0),
+            is_draining: Cell::new(false),
+            ends_at: Cell::new(None),
         }
     }
 
@@ -153,14 +182,22 @@
         self.operations.borrow().bytes()
     }
 
-    /// Whether requests are at the backend, or large responses on their way.
+    /// Whether requests are on their way to the backend or at work there, or large responses are to be sent.
     pub fn is_busy(&self) -> bool {
-        self.backend.admission().in_flight() > 0 || self.link_load.unsent_bytes() > 0
+        self.serving.get() > 0 || self.running.count() > 0 || self.link_load.unsent_bytes() > 0
     }
 
-    /// Requests that the backend works on.
-    pub fn running(&self) -> usize {
-        self.running.get()
+    /// This proxy ends at that time: what must not be repeated begins only where it is answered before, whatever its work takes.
+    pub fn set_end(&self, ends_at: Micros) {
+        self.ends_at.set(Some(ends_at));
+    }
+
+    /// From now on nothing more begins at the backend: what is queued and what comes is refused, and can go elsewhere at once.
+    pub fn drain(&self) {
+        self.is_draining.set(true);
+        let queued = self.queued.take();
+        let now = self.context.now();
+        queued.keys().for_each(|ticket| self.backend.admission().cancel(now, *ticket));
     }
 
     /// Something happened to the backend; the replicas are told where it changes what others have to know.
@@ -181,37 +218,41 @@
 
     /// Runs a request at the backend here, or says why not.
     pub async fn serve(self: Rc<Inbound>, request: Request) -> PeerResponse {
-        let deadline = self.context.now() + Micros::ms(i64::from(request.time_left_ms));
-        if let Some(refusal) = self.refusal_on_arrival(&request, deadline) {
+        let _serving = ServingCount::new(&self);
+        let arrival = Arrival::new(request, self.context.now());
+        let request = &arrival.request;
+        if let Some(refusal) = self.refusal_on_arrival(&arrival) {
             return refusal.into();
         }
         let mut claim = None;
         if let (false, Some(ticket)) = (request.key.is_empty(), request.ticket) {
-            match self.claim(&request, ticket).await {
+            match self.claim(request, ticket).await {
                 Ok(granted) => claim = Some(granted),
                 Err(response) => return response.into(),
             }
         }
-        let slot = match self.enter(&request, deadline).await {
+        let entered = self.enter(&arrival).await;
+        // Much may have changed while this one was queued.
+        if let Some(refusal) = self.refusal(&arrival) {
+            return refusal.into();
+        }
+        let slot = match entered {
             Ok(slot) => slot,
             Err(retry_after) => return self.refused(request.id, "full", retry_after).into(),
         };
-        // It may have changed while this one was queued.
-        if let Some(refusal) = self.refusal(&request, deadline) {
-            return refusal.into();
-        }
         match claim {
-            Some(claim) => self.run_keyed(slot, request, claim, deadline).await,
-            None => self.run(slot, &request, deadline).await,
+            Some(claim) => self.run_keyed(slot, arrival, claim).await,
+            None => self.run(slot, &arrival).await,
         }
     }
 
     /// Why a request does not even wait for its turn.
-    fn refusal_on_arrival(&self, request: &Request, deadline: Micros) -> Option<Response> {
+    fn refusal_on_arrival(&self, arrival: &Arrival) -> Option<Response> {
+        let request = &arrival.request;
         if self.backend.unavailable(&request.instance, &request.service).is_some() {
             self.context.count("astray");
         }
-        if let Some(refusal) = self.refusal(request, deadline) {
+        if let Some(refusal) = self.refusal(arrival) {
             return Some(refusal);
         }
         // Large responses stand before all else on a thin link: one more is begun only while they are soon worked off.
@@ -224,13 +265,19 @@
         None
     }
 
-    /// Why a request may not begin now: another instance is here, it drains, or its time is over.
-    fn refusal(&self, request: &Request, deadline: Micros) -> Option<Response> {
+    /// Why a request may not begin now: another instance is here, it drains, this proxy ends, or the request's time is over.
+    fn refusal(&self, arrival: &Arrival) -> Option<Response> {
+        let request = &arrival.request;
         let unavailable = self.backend.unavailable(&request.instance, &request.service);
         if let Some(Unavailable { verdict, reason }) = unavailable {
             return Some(self.with_load(without_answer(request.id, verdict, reason)));
         }
-        if deadline - self.context.now() <= DEADLINE_MARGIN {
+        let may_be_cut = |ends_at| !request.idempotent && arrival.deadline > ends_at;
+        if self.is_draining.get() || self.ends_at.get().is_some_and(may_be_cut) {
+            self.context.count("refused_at_end");
+            return Some(self.refused(request.id, "the proxy here ends", Micros(0)));
+        }
+        if arrival.deadline - self.context.now() <= DEADLINE_MARGIN {
             return Some(self.refused(request.id, "its time is over", Micros(0)));
         }
         None
@@ -295,10 +342,10 @@
     async fn run_keyed(
         self: Rc<Inbound>,
         slot: Slot,
-        request: Request,
+        arrival: Arrival,
         mut claim: ClaimGuard,
-        deadline: Micros,
     ) -> PeerResponse {
+        let request = &arrival.request;
         let id = request.id;
         let window = self.context.settings().bounds.key_window;
         let now = self.context.now();
@@ -315,8 +362,8 @@
         claim.is_armed = false;
         let (done, finished) = oneshot::channel();
         tokio::task::spawn_local(async move {
-            let response = self.clone().run(slot, &request, deadline).await.response;
-            self.on_keyed_finished(&request, &response);
+            let response = self.clone().run(slot, &arrival).await.response;
+            self.on_keyed_finished(&arrival.request, &response);
             // Whoever waited may have left.
             let _ = done.send(response);
         });
@@ -336,18 +383,20 @@
     // ---- The queue ----------------------------------------------------------------------------------------
 
     /// Waits for a slot at the backend; or when to come back.
-    async fn enter(self: &Rc<Inbound>, request: &Request, deadline: Micros) -> Result<Slot, Micros> {
+    async fn enter(self: &Rc<Inbound>, arrival: &Arrival) -> Result<Slot, Micros> {
         let now = self.context.now();
-        let kind = request.latency_target_ms;
+        let (origin, deadline) = (arrival.origin, arrival.deadline);
+        let kind = arrival.request.latency_target_ms;
         let candidate = Candidate {
-            priority: request.priority,
+            call_depth: origin.call_depth,
+            priority: origin.priority,
             kind,
-            target_at: now + Micros::ms(i64::from(request.target_left_ms)),
+            target_at: origin.target_at,
             deadline,
         };
         let admission = self.backend.admission().admit(now, candidate);
         if let Some(displaced) = admission.displaced {
-            // Its wait ends without a slot.
+            // Its wait ends without a slot, and it has none to give back.
             drop(self.queued.borrow_mut().remove(&displaced));
             self.context.count("displaced");
         }
@@ -366,36 +415,36 @@
     ) -> Result<Slot, Micros> {
         let (admitted, wait) = oneshot::channel();
         self.queued.borrow_mut().insert(ticket, admitted);
-        let mut place = QueuePlace { inbound: self.clone(), ticket, is_admitted: false };
+        let _place = QueuePlace { inbound: self.clone(), ticket };
         match within(timeout, wait).await {
-            Some(Ok(())) => {
-                place.is_admitted = true;
-                Ok(Slot { inbound: self.clone(), kind, took: None })
+            Some(Ok(mut slot)) => {
+                slot.kind = kind;
+                Ok(slot)
             }
             _ => Err(Micros(0)),
         }
     }
 
     /// Lets queued requests begin, as far as there is room.
-    fn admit_queued(&self, next: Option<QueueTicket>) {
+    fn admit_queued(self: &Rc<Inbound>, next: Option<QueueTicket>) {
         let mut next = next;
         while let Some(ticket) = next {
+            let slot = Slot { inbound: self.clone(), kind: 0, took: None };
             let waiting = self.queued.borrow_mut().remove(&ticket);
-            let is_admitted = waiting.is_some_and(|waiting| waiting.send(()).is_ok());
-            let now = self.context.now();
-            next = match is_admitted {
-                true => self.backend.admission().admit_next(now),
-                false => self.backend.admission().release(now, 0, None),
-            };
+            // Where nobody waits any more the slot is given back here.
+            drop(waiting.map(|waiting| waiting.send(slot)));
+            next = self.backend.admission().admit_next(self.context.now());
         }
     }
 
     // ---- The backend --------------------------------------------------------------------------------------
 
-    async fn run(self: Rc<Inbound>, mut slot: Slot, request: &Request, deadline: Micros) -> PeerResponse {
+    async fn run(self: Rc<Inbound>, mut slot: Slot, arrival: &Arrival) -> PeerResponse {
         let started_at = self.context.now();
-        let running = RunningCount::new(&self);
-        let BackendOutcome { mut response, rest } = self.client.send(request, deadline).await;
+        let request = &arrival.request;
+        let running = self.running.begin(&request.attempt_id, arrival.origin);
+        let BackendOutcome { mut response, rest } = self.client.send(request, arrival.deadline).await;
+        response.call_failed = response.status >= FAILURE_STATUS && running.has_failed_call();
         drop(running);
         let took = self.context.now() - started_at;
         match response.verdict() {
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -2,10 +2,11 @@
 //!
 //! Decisions without I/O: [`attempts`] (what becomes of a client's request after each attempt), [`peer_exchange`] (what is open between two
 //! proxies), [`keyed_operation`] (a key beside its backend), [`backend_connection`] (what is open at the backend), [`admission`] (what may begin
-//! there), [`retry_budget`], [`service_balancer`] (the decision module for one service), [`stall_detector`], [`watched_replica`].
+//! there), [`retry_budget`], [`service_balancer`] (the decision module for one service), [`stall_detector`], [`watched_replica`],
+//! [`shutdown`] (the end of a proxy in order).
 //!
 //! Parts that own state: [`context`] (identity, settings, clock, counters), [`config_store`], [`services`] (endpoint list and balancers),
-//! [`local_backend`], [`link_load`], [`replicas`] and [`claim_client`] (the control plane as it is known here).
+//! [`local_backend`], [`running_requests`], [`link_load`], [`replicas`] and [`claim_client`] (the control plane as it is known here).
 //!
 //! The way of a request: [`outbound`] (accept, route, pick, attempt, retry or answer), [`peer_connections`] to the proxy beside the backend,
 //! there [`peer_server`], [`inbound`] (admit) and [`backend_exchange`]. [`control_client`] carries the connections to the replicas,
@@ -40,7 +41,9 @@
 pub mod replicas;
 pub mod retry_budget;
 pub mod run;
+pub mod running_requests;
 pub mod service_balancer;
 pub mod services;
+pub mod shutdown;
 pub mod stall_detector;
 pub mod watched_replica;
--- a/crates/data-plane/src/outbound.rs
+++ b/crates/data-plane/src/outbound.rs
@@ -14,7 +14,7 @@
 use notchspool_mesh_config::route_config::{Route, RouteConfig, RouteKind};
 use notchspool_mesh_protocol::{Header, Request as PeerRequest, Response as PeerReply, Ticket, Verdict};
 
-use crate::attempts::{Action, Attempts, Event, RetryPolicy};
+use crate::attempts::{Action, Attempts, Event, MAX_CALL_REFUSALS, MAX_REFUSALS, RetryPolicy};
 use crate::claim_client::ClaimClient;
 use crate::client_response::{self, ClientResponse};
 use crate::config_store::ConfigStore;
@@ -23,6 +23,7 @@
 use crate::keyed_operation::NOT_RUN_HERE;
 use crate::peer_connections::PeerConnections;
 use crate::peer_link::{PeerResponse, without_answer};
+use crate::running_requests::{Origin, RunningRequests};
 use crate::service_balancer::{AttemptEnd, BalancerAction};
 use crate::services::Services;
 use crate::stall_detector::LONG_STALL;
@@ -35,6 +36,8 @@
 /// When to come back while no configuration is known, or too many requests are in flight.
 const NO_CONFIG_RETRY_AFTER: Micros = Micros::ms(200);
 const IN_FLIGHT_FULL_RETRY_AFTER: Micros = Micros::ms(300);
+/// When to come back where this proxy ends: to another one, which the platform names.
+const ENDING_RETRY_AFTER: Micros = Micros::ms(100);
 /// When to come back after a claim that was withdrawn.
 const WITHDRAWN_RETRY_AFTER: Micros = Micros::ms(50);
 /// Refused clients come back no sooner than this.
@@ -52,7 +55,10 @@
     services: Rc<Services>,
     claims: Rc<ClaimClient>,
     peers: Rc<PeerConnections>,
+    running: Rc<RunningRequests>,
     in_flight: Cell<usize>,
+    /// This proxy ends: what can't be answered for certain by then is refused.
+    ends_at: Cell<Option<Micros>>,
     /// The part of requests that were refused lately, smoothed.
     refused_part: Cell<f64>,
 }
@@ -68,8 +74,8 @@
     key: String,
     /// Since when it stands here.
     received_at: Micros,
-    /// Until when a response has its full value.
-    target_at: Micros,
+    /// For whom it is served: its own client, or the one for whose request the backend here makes this call.
+    origin: Origin,
     deadline: Micros,
 }
 
@@ -123,9 +129,24 @@
         services: Rc<Services>,
         claims: Rc<ClaimClient>,
         peers: Rc<PeerConnections>,
+        running: Rc<RunningRequests>,
     ) -> Outbound {
-        let (in_flight, refused_part) = (Cell::new(0), Cell::new(0.0));
-        Outbound { context, config, services, claims, peers, in_flight, refused_part }
+        Outbound {
+            context,
+            config,
+            services,
+            claims,
+            peers,
+            running,
+            in_flight: Cell::new(0),
+            ends_at: Cell::new(None),
+            refused_part: Cell::new(0.0),
+        }
+    }
+
+    /// This proxy ends at that time, and clients are not sent here any more: from now on a request is taken only where its time ends before.
+    pub fn set_end(&self, ends_at: Micros) {
+        self.ends_at.set(Some(ends_at));
     }
 
     /// Requests that are served now.
@@ -173,6 +194,10 @@
         };
         let time_left = head.time_left().min(route.timeout);
         let deadline = if age >= LONG_STALL { received_at } else { now } + time_left;
+        if self.ends_at.get().is_some_and(|ends_at| deadline > ends_at) {
+            self.context.count("refused_at_end");
+            return Err(client_response::refused("the proxy here ends", ENDING_RETRY_AFTER));
+        }
         let headers = headers::forwarded(&head.parts.headers);
         let attempt_id = headers::single_value(&head.parts.headers, ATTEMPT_ID);
         let Some(attempt_id) = attempt_id.filter(|id| !id.is_empty()) else {
@@ -188,6 +213,8 @@
             }
             Err(_) => return Err(client_response::plain(400, "the body was cut short")),
         };
+        let own = Origin { call_depth: 0, priority: route.priority, target_at: now + route.latency_target };
+        let origin = self.running.origin_of_call(&attempt_id).unwrap_or(own);
         let client = ClientRequest {
             target: head.parts.uri.path_and_query().map_or("/", |target| target.as_str()).to_string(),
             method: head.parts.method.to_string(),
@@ -197,7 +224,7 @@
             attempt_id,
             key,
             received_at,
-            target_at: now + route.latency_target,
+            origin,
             deadline,
         };
         Ok((route.clone(), client))
@@ -216,6 +243,13 @@
         let actions = self.services.with(&service, |b| b.begin(now, request, route, client.deadline));
         let delivery = Delivery { route, service: &service, request, client: &client };
         let response = self.deliver(&delivery, actions).await;
+        if client.origin.call_depth > 0 {
+            self.context.count("calls");
+            if response.status().is_client_error() || response.status().is_server_error() {
+                self.context.count("calls_failed");
+                self.running.on_call_failed(&client.attempt_id);
+            }
+        }
         in_flight.is_answered.set(true);
         response
     }
@@ -281,6 +315,11 @@
         RetryPolicy {
             idempotent: delivery.route.kind.is_idempotent(),
             max_attempts: delivery.route.max_attempts,
+            max_refusals: if delivery.client.origin.call_depth > 0 {
+                MAX_CALL_REFUSALS
+            } else {
+                MAX_REFUSALS
+            },
             deadline: delivery.client.deadline,
             ticket: is_keyed.then_some(ticket),
         }
@@ -325,6 +364,8 @@
         verdict: Verdict,
     ) -> AttemptOutcome {
         match verdict {
+            // What was called has failed: that is known where it was called, and says nothing of this backend.
+            Verdict::Answered if response.call_failed => AttemptOutcome::NotSent,
             Verdict::Answered if response.status >= 500 => AttemptOutcome::Failed,
             Verdict::Answered => AttemptOutcome::Succeeded,
             Verdict::OtherInstance => AttemptOutcome::Rejected,
@@ -390,8 +431,9 @@
             body: client.body.clone(),
             time_left_ms: ms(time_left, 1),
             latency_target_ms: ms(route.latency_target, 1),
-            target_left_ms: ms(client.target_at - now, 0),
-            priority: route.priority,
+            target_left_ms: ms(client.origin.target_at - now, 0),
+            priority: client.origin.priority.min(route.priority),
+            call_depth: client.origin.call_depth,
             idempotent: route.kind.is_idempotent(),
             key: if ticket.is_some() { client.key.clone() } else { String::new() },
             ticket,
--- a/crates/data-plane/src/peer_connections.rs
+++ b/crates/data-plane/src/peer_connections.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use notchspool::units::Micros;
-use notchspool_mesh_protocol::{FetchResponse, Payload, Request, Response, Verdict};
-use notchspool_runtime::frame_connection;
+use notchspool_mesh_protocol::{FetchResponse, GoAway, Payload, Request, Response, Verdict};
+use notchspool_runtime::frame_connection::{self, FrameSender};
 use tokio::net::TcpStream;
 
 use crate::context::Context;
@@ -33,14 +33,35 @@
     inbound: Rc<Inbound>,
     /// Connections that were opened here, by address.
     links: RefCell<BTreeMap<String, Rc<PeerLink>>>,
-    /// How many others opened here.
-    accepted: Cell<usize>,
+    /// Those that others opened here.
+    accepted: RefCell<Vec<FrameSender>>,
+    /// This proxy ends: others are told to send nothing more.
+    is_going_away: Cell<bool>,
 }
 
 impl PeerConnections {
     /// No connection is open yet. `inbound` serves requests for the backend here.
     pub fn new(context: Rc<Context>, inbound: Rc<Inbound>) -> PeerConnections {
-        PeerConnections { context, inbound, links: RefCell::default(), accepted: Cell::new(0) }
+        PeerConnections {
+            context,
+            inbound,
+            links: RefCell::default(),
+            accepted: RefCell::default(),
+            is_going_away: Cell::new(false),
+        }
+    }
+
+    /// How many connections others have open here.
+    pub fn accepted(&self) -> usize {
+        self.accepted.borrow().len()
+    }
+
+    /// This proxy ends: others are told to send nothing more, and to close their connections once all is answered.
+    pub fn go_away(&self) {
+        self.is_going_away.set(true);
+        for sender in self.accepted.borrow().iter() {
+            sender.send(Payload::GoAway(GoAway {}));
+        }
     }
 
     /// Sends a request to the proxy beside a backend. Dropped, it is taken back there where that can still be done.
@@ -127,6 +148,7 @@
             Payload::Response(response) => link.on_response(now, response),
             Payload::BodyChunk(chunk) => link.on_body_chunk(now, chunk),
             Payload::Pong(pong) => link.apply(now, OutgoingEvent::Pong(pong.number)),
+            Payload::GoAway(_) => link.apply(now, OutgoingEvent::GoAway),
             _ => None,
         };
         if let Some(reason) = aborted {
@@ -152,11 +174,16 @@
 
     /// Carries a connection that another proxy opened: requests for the backend here.
     pub async fn carry_incoming(self: Rc<PeerConnections>, stream: TcpStream) {
-        if self.accepted.get() >= MAX_CONNECTIONS {
+        if self.accepted() >= MAX_CONNECTIONS {
             return;
         }
-        self.accepted.set(self.accepted.get() + 1);
-        PeerServer::new(self.context.clone(), self.inbound.clone()).carry(stream).await;
-        self.accepted.set(self.accepted.get() - 1);
+        let server = PeerServer::new(self.context.clone(), self.inbound.clone());
+        let sender = server.sender().clone();
+        self.accepted.borrow_mut().push(sender.clone());
+        if self.is_going_away.get() {
+            sender.send(Payload::GoAway(GoAway {}));
+        }
+        server.carry(stream).await;
+        self.accepted.borrow_mut().retain(|accepted| !accepted.is_same(&sender));
     }
 }
--- a/crates/data-plane/src/peer_exchange.rs
+++ b/crates/data-plane/src/peer_exchange.rs
@@ -5,7 +5,7 @@
 //! side there is another. One function each, `apply`, changes the state.
 //!
 //! ```text
-//! a connection: Connecting -connected-> Connected -unused-> Finishing -closed-> Closed
+//! a connection: Connecting -connected-> Connected -unused, told to go away-> Finishing -closed-> Closed
 //! an exchange:  -request-> Waiting -response-> done, or Streaming -last chunk-> done
 //!               Waiting, Streaming -abandon-> Abandoned -its ping answered-> done
 //! ```
@@ -34,7 +34,7 @@
     Connecting,
     /// What is written may have left.
     Connected,
-    /// It takes nothing new, and ends once all is written.
+    /// It takes nothing new, and ends once all that is open is answered and all is written.
     Finishing,
     Closed,
 }
@@ -66,6 +66,8 @@
     Abandon(ExchangeId),
     /// A ping of this number was answered.
     Pong(u64),
+    /// The other side ends: nothing new is to be sent.
+    GoAway,
     /// Time has passed.
     Tick {
         /// How often bytes came on the connection.
@@ -173,6 +175,10 @@
                 self.abandoned.retain(|_, ping| *ping > number);
                 OutgoingAction::Nothing
             }
+            OutgoingEvent::GoAway => {
+                self.on_contact(now);
+                self.go_away()
+            }
             OutgoingEvent::Tick { read_count, max_silence } => self.tick(now, read_count, max_silence),
             OutgoingEvent::Closed => self.close(),
         }
@@ -222,6 +228,18 @@
         }
     }
 
+    /// What is open is answered; then the connection ends from here, so that nothing crosses its end.
+    fn go_away(&mut self) -> OutgoingAction<W, S> {
+        if self.accepts_requests() {
+            self.state = State::Finishing;
+        }
+        if self.is_idle() { OutgoingAction::Finish } else { OutgoingAction::Nothing }
+    }
+
+    fn is_idle(&self) -> bool {
+        self.open.is_empty() && self.abandoned.is_empty()
+    }
+
     fn abandon(&mut self, id: ExchangeId) -> OutgoingAction<W, S> {
         if self.open.remove(&id).is_none() {
             return OutgoingAction::Nothing;
@@ -254,12 +272,14 @@
             self.read_count = read_count;
             self.on_contact(now);
         }
-        let is_idle = self.open.is_empty() && self.abandoned.is_empty();
+        let is_idle = self.is_idle();
         if is_idle && self.accepts_requests() && now - self.last_used_at > IDLE_TIMEOUT {
             self.state = State::Finishing;
+        }
+        if is_idle && self.state == State::Finishing {
             return OutgoingAction::Finish;
         }
-        if self.state != State::Connected || is_idle {
+        if !matches!(self.state, State::Connected | State::Finishing) || is_idle {
             return OutgoingAction::Nothing;
         }
         let is_streaming = self.open.values().any(|exchange| matches!(exchange, Exchange::Streaming(_)));
--- a/crates/data-plane/src/peer_server.rs
+++ b/crates/data-plane/src/peer_server.rs
@@ -50,6 +50,11 @@
         })
     }
 
+    /// Its sending end.
+    pub fn sender(&self) -> &FrameSender {
+        &self.sender
+    }
+
     /// Carries the connection until it ends; work that is open then is ended with it.
     pub async fn carry(self: Rc<PeerServer>, stream: TcpStream) {
         frame_connection::configure_socket(&stream);
--- a/crates/data-plane/src/proxy.rs
+++ b/crates/data-plane/src/proxy.rs
@@ -17,6 +17,7 @@
 use crate::outbound::Outbound;
 use crate::peer_connections::PeerConnections;
 use crate::replicas::Replicas;
+use crate::running_requests::RunningRequests;
 use crate::services::Services;
 
 /// The backend is looked after each so many ticks, and figures are logged each so many.
@@ -39,6 +40,8 @@
     pub control: Rc<ControlClient>,
     /// Connections to the backend here.
     pub client: Rc<BackendClient>,
+    /// What the backend here works on.
+    pub running: Rc<RunningRequests>,
     /// Requests for the backend here.
     pub inbound: Rc<Inbound>,
     /// Connections to other proxies.
@@ -67,6 +70,7 @@
             backend.clone(),
         ));
         let link_load = Rc::new(LinkLoad::new(context.clone()));
+        let running = Rc::new(RunningRequests::default());
         let client = Rc::new(BackendClient::new(context.clone(), link_load.clone()));
         let inbound = Rc::new(Inbound::new(
             context.clone(),
@@ -75,6 +79,7 @@
             claims.clone(),
             control.clone(),
             link_load,
+            running.clone(),
         ));
         let peers = Rc::new(PeerConnections::new(context.clone(), inbound.clone()));
         let outbound = Rc::new(Outbound::new(
@@ -83,6 +88,7 @@
             services.clone(),
             claims.clone(),
             peers.clone(),
+            running.clone(),
         ));
         let api = Rc::new(LocalApi {
             context: context.clone(),
@@ -93,7 +99,20 @@
             inbound: inbound.clone(),
             is_stopping: Cell::new(false),
         });
-        Proxy { context, config, services, backend, claims, control, client, inbound, peers, outbound, api }
+        Proxy {
+            context,
+            config,
+            services,
+            backend,
+            claims,
+            control,
+            client,
+            running,
+            inbound,
+            peers,
+            outbound,
+            api,
+        }
     }
 
     /// Reads the settings file again; one that makes no sense changes nothing.
@@ -124,9 +143,4 @@
             self.inbound.tick(now);
         }
     }
-
-    /// Whether requests are served, from here or for the backend here.
-    pub fn is_busy(&self) -> bool {
-        self.outbound.in_flight() > 0 || self.inbound.is_busy()
-    }
 }
--- a/crates/data-plane/src/run.rs
+++ b/crates/data-plane/src/run.rs
@@ -22,6 +22,7 @@
 use crate::local_api::LocalApi;
 use crate::outbound::Outbound;
 use crate::proxy::Proxy;
+use crate::shutdown::{CLIENTS_SENT_FOR, InFlight, Phase, Shutdown};
 
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 /// Clients' connections at most.
@@ -34,12 +35,6 @@
 const MIN_HEADER_BUFFER: usize = 8 << 10;
 const MAX_HEADER_BUFFER: usize = 1 << 20;
 const EXTRA_HEADER_BUFFER: usize = 8 << 10;
-/// Clients are sent here for some time after a proxy says that it is not ready.
-const STILL_SENT_TIME: Micros = Micros::ms(2_200);
-/// Until all proxies have heard that this one goes.
-const LEAVE_NOTICE_TIME: Micros = Micros::ms(200);
-/// Kept clear of the end of the grace period.
-const GRACE_MARGIN: Micros = Micros::ms(700);
 /// What was written last has to leave.
 const FLUSH_TIME: Duration = Duration::from_millis(60);
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(20);
@@ -212,14 +207,14 @@
     Ok(())
 }
 
-/// What is in flight, for the log. The two figures of the backend differ by what admission reserves, at most by one.
+/// What is in flight, for the log. The two figures of the backend differ by what is being sent back, or there is a fault in one.
 fn in_flight_text(proxy: &Proxy) -> String {
-    let (begun_here, running) = (proxy.outbound.in_flight(), proxy.inbound.running());
+    let (begun_here, running) = (proxy.outbound.in_flight(), proxy.running.count());
     let admitted = proxy.backend.admission().in_flight();
     format!("{begun_here} requests begun here, {admitted} admitted to the backend, {running} running there")
 }
 
-/// Ends in order, within the grace period.
+/// Ends in order, within the grace period ([`crate::shutdown`]).
 async fn shut_down(
     proxy: &Proxy,
     outbound: &HttpServer,
@@ -228,26 +223,44 @@
 ) {
     let context = &proxy.context;
     let started_at = context.now();
+    let mut shutdown = Shutdown::new(started_at, grace);
     proxy.api.is_stopping.set(true);
+    proxy.inbound.set_end(shutdown.ends_at());
     log::info!(target: "proxy", "ends on SIGTERM, {} requests in hand", proxy.outbound.in_flight());
-    // Clients come for some time yet. Then no more connections are taken, and idle ones are closed.
-    let last = started_at + grace - GRACE_MARGIN;
-    while context.now() < (started_at + STILL_SENT_TIME).min(last) {
-        tokio::time::sleep(Duration::from_millis(50)).await;
-    }
-    // Those who wait for it are gone where this fails.
-    let _ = close_outbound.send(true);
-    log::info!(target: "proxy", "no more requests are taken from clients, {}", in_flight_text(proxy));
-    // The backend goes on: others send to it until the end, and are told before that.
-    proxy.backend.set_proxy_leaving();
-    proxy.control.report_endpoint();
-    let noticed_at = context.now();
-    while context.now() < (noticed_at + LEAVE_NOTICE_TIME).min(last) {
-        tokio::time::sleep(EXIT_POLL_INTERVAL).await;
-    }
-    // Also what others are being sent from the backend here goes to its end.
-    while context.now() < last && (*outbound.open.borrow() > 0 || proxy.is_busy()) {
-        tokio::time::sleep(EXIT_POLL_INTERVAL).await;
+    while shutdown.phase() != Phase::Ended {
+        let now = context.now();
+        let in_flight = InFlight {
+            backend_busy: proxy.inbound.is_busy(),
+            clients: proxy.outbound.in_flight() + *outbound.open.borrow(),
+            peers: proxy.peers.accepted(),
+        };
+        if now >= started_at + CLIENTS_SENT_FOR {
+            proxy.outbound.set_end(shutdown.ends_at());
+        }
+        match shutdown.apply(now, in_flight) {
+            Some(phase) => enter_phase(proxy, phase, close_outbound),
+            None => tokio::time::sleep(EXIT_POLL_INTERVAL).await,
+        }
     }
     tokio::time::sleep(FLUSH_TIME).await;
 }
+
+fn enter_phase(proxy: &Proxy, phase: Phase, close_outbound: &watch::Sender<bool>) {
+    match phase {
+        Phase::Leaving | Phase::Ended => {}
+        Phase::Announced => {
+            proxy.backend.set_proxy_leaving();
+            proxy.control.report_endpoint();
+        }
+        Phase::Draining => {
+            proxy.inbound.drain();
+            proxy.peers.go_away();
+            log::info!(target: "proxy", "nothing more begins at the backend, {}", in_flight_text(proxy));
+        }
+        Phase::Closing => {
+            // Those who wait for it are gone where this fails.
+            let _ = close_outbound.send(true);
+            log::info!(target: "proxy", "no more connections are taken, {}", in_flight_text(proxy));
+        }
+    }
+}
--- a/crates/data-plane/tests/admission.rs
+++ b/crates/data-plane/tests/admission.rs
@@ -13,7 +13,13 @@
 }
 fn candidate(priority: u32, target: i64, now: i64) -> Candidate {
     let at = |ms: i64| Micros::ms(now + ms);
-    Candidate { priority, kind: target as u32, target_at: at(target), deadline: at(3 * target) }
+    Candidate {
+        call_depth: 0,
+        priority,
+        kind: target as u32,
+        target_at: at(target),
+        deadline: at(3 * target),
+    }
 }
 fn ticket(admission: Admission) -> QueueTicket {
     match admission.decision {
@@ -86,3 +92,31 @@
         .tests(500)
         .quickcheck(holds as fn(Vec<(u8, u8)>) -> bool);
 }
+
+#[test]
+fn calls_go_before_new_work_of_any_priority_the_deepest_first() {
+    let mut queue = busy_queue(2);
+    let now = Micros::ms(1);
+    let call = |call_depth, priority| Candidate { call_depth, ..candidate(priority, 800, 1) };
+    let urgent = ticket(queue.admit(now, call(0, 0)));
+    let of_order = ticket(queue.admit(now, call(1, 1)));
+    let of_lookup = ticket(queue.admit(now, call(1, 2)));
+    let deep = ticket(queue.admit(now, call(2, 2)));
+    let order: Vec<_> = (0..4).filter_map(|_| queue.release(now, 800, None)).collect();
+    assert_eq!(order, [deep, of_order, of_lookup, urgent]);
+}
+
+#[test]
+fn a_call_waits_where_a_request_of_the_same_target_is_turned_away() {
+    let (mut queue, now) = (busy_queue(1), Micros::ms(300));
+    queue.release(now, 300, Some(Micros::ms(300)));
+    assert_eq!(queue.admit(now, candidate(1, 300, 300)).decision, Decision::Admitted);
+    let deadline = now + Micros::ms(600);
+    let short =
+        Candidate { call_depth: 0, priority: 1, kind: 200, target_at: now + Micros::ms(200), deadline };
+    assert!(matches!(queue.admit(now, short).decision, Decision::Rejected(_)));
+    assert!(matches!(queue.admit(now, Candidate { call_depth: 1, ..short }).decision, Decision::Queued(_)));
+    // But not for longer than its time allows.
+    let hurried = Candidate { call_depth: 1, deadline: now + Micros::ms(300), ..short };
+    assert!(matches!(queue.admit(now, hurried).decision, Decision::Rejected(_)));
+}
--- a/crates/data-plane/tests/attempts.rs
+++ b/crates/data-plane/tests/attempts.rs
@@ -2,14 +2,20 @@
 use std::cell::Cell;
 
 use notchspool::units::Micros;
-use notchspool_data_plane::attempts::{Action, Attempts, Event, RetryPolicy};
+use notchspool_data_plane::attempts::{Action, Attempts, Event, MAX_REFUSALS, RetryPolicy};
 use notchspool_data_plane::stall_detector::{StallDetector, aged};
 use notchspool_mesh_protocol::{Request, Response, Ticket, Verdict};
 
 const TICKET: Ticket = Ticket { boot_id: 7, number: 1, attempt: 0 };
 
 fn policy(idempotent: bool, ticket: Option<Ticket>) -> RetryPolicy {
-    RetryPolicy { idempotent, max_attempts: 2, deadline: Micros::ms(1_000), ticket }
+    RetryPolicy {
+        idempotent,
+        max_attempts: 2,
+        max_refusals: MAX_REFUSALS,
+        deadline: Micros::ms(1_000),
+        ticket,
+    }
 }
 fn response(verdict: Verdict, arrived: bool) -> Response {
     Response { verdict: verdict.into(), reached_backend: arrived, status: 200, ..Response::default() }
@@ -48,6 +54,15 @@
     assert_eq!(nobody.apply(Micros(1), Event::NoBackend, &|| true), Action::Reject);
 }
 
+#[test]
+fn a_failure_that_came_of_a_failed_call_is_not_run_again_elsewhere() {
+    let failed = Response { status: 500, ..response(Verdict::Answered, true) };
+    let mut safe = Attempts::new(policy(true, None));
+    assert_eq!(receive(&mut safe, &failed), Action::Retry);
+    let mut safe = Attempts::new(policy(true, None));
+    assert_eq!(receive(&mut safe, &Response { call_failed: true, ..failed }), Action::Relay);
+}
+
 #[test]
 fn no_promise_after_what_may_have_run() {
     let mut safe = Attempts::new(policy(true, None));
--- a/crates/data-plane/tests/peer_exchange.rs
+++ b/crates/data-plane/tests/peer_exchange.rs
@@ -155,3 +155,39 @@
         .tests(5_000)
         .quickcheck(holds as fn(Vec<(u8, u8)>) -> bool);
 }
+
+#[test]
+fn who_is_told_to_go_away_sends_nothing_more_and_closes_once_all_is_answered() {
+    let mut link = up();
+    request(&mut link, 1);
+    request(&mut link, 2);
+    let look = |link: &mut Link, at| {
+        link.apply(
+            Micros::ms(at),
+            OutgoingEvent::Tick { read_count: at as u64, max_silence: Micros::ms(500) },
+        )
+    };
+    assert!(matches!(link.apply(Micros::ms(1), OutgoingEvent::GoAway), OutgoingAction::Nothing));
+    assert!(!link.accepts_requests());
+    assert!(matches!(link.apply(Micros::ms(1), OutgoingEvent::Request(3, 3)), OutgoingAction::NotRun(_, 3)));
+    assert!(matches!(
+        link.apply(Micros::ms(2), OutgoingEvent::Response(1, None)),
+        OutgoingAction::Deliver(1)
+    ));
+    assert!(matches!(look(&mut link, 3), OutgoingAction::Nothing), "one is open");
+    assert!(matches!(
+        link.apply(Micros::ms(4), OutgoingEvent::Response(2, None)),
+        OutgoingAction::Deliver(2)
+    ));
+    assert!(matches!(look(&mut link, 5), OutgoingAction::Finish));
+    // One on which nothing is open ends at once; one whose other side says nothing more is given up as ever.
+    assert!(matches!(up().apply(Micros(2), OutgoingEvent::GoAway), OutgoingAction::Finish));
+    let mut silent = up();
+    request(&mut silent, 1);
+    silent.apply(Micros::ms(1), OutgoingEvent::GoAway);
+    let same = |link: &mut Link, at| {
+        link.apply(Micros::ms(at), OutgoingEvent::Tick { read_count: 0, max_silence: Micros::ms(500) })
+    };
+    let ends = (1..20).any(|n| matches!(same(&mut silent, n * 100), OutgoingAction::Abort(_)));
+    assert!(ends, "its silence is noticed");
+}
--- a/crates/lab/src/mesh/traffic/outbound.rs
+++ b/crates/lab/src/mesh/traffic/outbound.rs
@@ -1,6 +1,6 @@
 //! A proxy where requests begin: what they are told, and the links to other proxies.
 use notchspool::units::Micros;
-use notchspool_data_plane::attempts::{Action, Attempts, Event, RetryPolicy};
+use notchspool_data_plane::attempts::{Action, Attempts, Event, MAX_REFUSALS, RetryPolicy};
 use notchspool_data_plane::keyed_operation::NOT_RUN_HERE;
 use notchspool_data_plane::peer_exchange::{MAX_SILENCE, OutgoingAction, OutgoingEvent, OutgoingExchanges};
 use notchspool_data_plane::peer_link::without_answer;
@@ -99,6 +99,7 @@
         let policy = RetryPolicy {
             idempotent: kind == Kind::Safe || self.breach == Some(Breach::Repeat),
             max_attempts: MOST,
+            max_refusals: MAX_REFUSALS,
             deadline: until,
             ticket: (!key.is_empty()).then_some(ticket),
         };
--- a/crates/lab/src/mesh/traffic/proxy.rs
+++ b/crates/lab/src/mesh/traffic/proxy.rs
@@ -341,8 +341,13 @@
         let proxy = &mut self.proxies[at];
         let Some(work) = proxy.works.get(&number) else { return };
         let aim = now + Micros::ms(i64::from(work.ask.target_left_ms));
-        let candidate =
-            Candidate { priority: 1, kind: work.ask.latency_target_ms, target_at: aim, deadline: work.until };
+        let candidate = Candidate {
+            call_depth: 0,
+            priority: 1,
+            kind: work.ask.latency_target_ms,
+            target_at: aim,
+            deadline: work.until,
+        };
         let Admission { decision, displaced } = proxy.door.admit(now, candidate);
         if let Some(out) = displaced.and_then(|out| self.proxies[at].waiting.remove(&out)) {
             self.ends(at, out, without_answer(0, Verdict::NotRun, "full"));
--- a/crates/mesh-protocol/src/frame.rs
+++ b/crates/mesh-protocol/src/frame.rs
@@ -4,8 +4,8 @@
 
 use crate::{
     BodyChunk, BodyConsumed, Cancel, Claim, ClaimReply, ConfigRequest, ConfigUpdate, Endpoint,
-    EndpointUpdate, FetchResponse, HandoverReply, Hello, KnownVersion, LivenessReport, MissingText, Ping,
-    ReconfigReply, ReconfigRequest, Request, Response, SnapshotChunk, SnapshotRequest, StateRequest,
+    EndpointUpdate, FetchResponse, GoAway, HandoverReply, Hello, KnownVersion, LivenessReport, MissingText,
+    Ping, ReconfigReply, ReconfigRequest, Request, Response, SnapshotChunk, SnapshotRequest, StateRequest,
     TextEnvelope, UnwatchEndpoints, VoteReply, VoteRequest, VoterState, WatchEndpoints, Welcome,
     WithdrawClaim,
 };
@@ -39,7 +39,7 @@
     /// What it carries.
     #[prost(
         oneof = "Payload",
-        tags = "1,2,3,4,5,6,7,8,9,10,11,12,13,14,15,16,17,18,19,22,24,25,26,40,41,42,43,44,50,51,52,53,54"
+        tags = "1,2,3,4,5,6,7,8,9,10,11,12,13,14,15,16,17,18,19,22,24,25,26,27,40,41,42,43,44,50,51,52,53,54"
     )]
     pub payload: Option<Payload>,
 }
@@ -116,6 +116,9 @@
     /// Asks for a version.
     #[prost(message, tag = "26")]
     ConfigRequest(ConfigRequest),
+    /// Proxy to proxy: the speaker ends.
+    #[prost(message, tag = "27")]
+    GoAway(GoAway),
     /// A message whose text stands beside it.
     #[prost(message, tag = "40")]
     TextEnvelope(TextEnvelope),
--- a/crates/mesh-protocol/src/message/connection.rs
+++ b/crates/mesh-protocol/src/message/connection.rs
@@ -78,6 +78,10 @@
     pub previous_set: Option<VoterSet>,
 }
 
+/// The speaker ends: nothing more is to be sent on this connection, and it is to be closed once all that is open on it is answered.
+#[derive(Clone, Copy, PartialEq, Message)]
+pub struct GoAway {}
+
 /// A sign that a process lives, and the answer to one.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct Ping {
--- a/crates/mesh-protocol/src/message/exchange.rs
+++ b/crates/mesh-protocol/src/message/exchange.rs
@@ -72,6 +72,9 @@
     /// Milliseconds since its client sent it, as far as is known.
     #[prost(uint32, tag = "18")]
     pub age_ms: u32,
+    /// How many requests wait for this one to be done: 0 for a client's own, 1 for a call made for such a one.
+    #[prost(uint32, tag = "19")]
+    pub call_depth: u32,
 }
 
 /// What became of a request at the proxy beside the backend.
@@ -148,6 +151,9 @@
     /// Not run, and no other backend would do better now: to be answered without a retry.
     #[prost(bool, tag = "17")]
     pub final_refusal: bool,
+    /// The backend failed since a call that it made failed: that says nothing of the backend.
+    #[prost(bool, tag = "18")]
+    pub call_failed: bool,
 }
 
 /// A request is of no use any more.
