--- a/crates/data-plane/src/inbound.rs
+++ b/crates/data-plane/src/inbound.rs
@@ -21,7 +21,7 @@
 use crate::running_requests::{Origin, RunningRequests};
 
 /// The part of its latency target for which a large response may find the link at work.
-const MAX_BACKLOG_PART: f64 = 0.3;
+const MAX_BACKLOG_PART: f64 = 0.5;
 /// Kept clear of the end of a request's time.
 const DEADLINE_MARGIN: Micros = Micros::ms(2);
 /// Responses to keyed operations are kept for this long beyond their window.
@@ -442,10 +442,11 @@
     async fn run(self: Rc<Inbound>, mut slot: Slot, arrival: &Arrival) -> PeerResponse {
         let started_at = self.context.now();
         let request = &arrival.request;
+        let expected = self.link_load.expect(request.latency_target_ms);
         let running = self.running.begin(&request.attempt_id, arrival.origin);
         let BackendOutcome { mut response, rest } = self.client.send(request, arrival.deadline).await;
         response.call_failed = response.status >= FAILURE_STATUS && running.has_failed_call();
-        drop(running);
+        drop((running, expected));
         let took = self.context.now() - started_at;
         match response.verdict() {
             Verdict::Answered => {
--- a/crates/data-plane/src/peer_server.rs
+++ b/crates/data-plane/src/peer_server.rs
@@ -2,7 +2,9 @@
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
+use std::time::Duration;
 
+use notchspool::units::Micros;
 use notchspool_mesh_protocol::{BodyChunk, BodyConsumed, Payload, Request, Response, Verdict};
 use notchspool_runtime::frame_connection::{self, FrameSender};
 use tokio::net::TcpStream;
@@ -109,8 +111,11 @@
         let id = request.id;
         let served = self.inbound.clone().serve(request).await;
         let length = served.response.length as usize;
+        let first_bytes = served.response.body.len();
         self.sender.send(Payload::Response(Response { id, ..served.response }));
         if let Some(pipe) = served.rest {
+            // These went at once, before others that wait for the link; what follows waits for them, too.
+            self.inbound.link_load().pace(self.context.now(), first_bytes);
             let flow_control = Rc::new(FlowControl::default());
             self.streams.borrow_mut().insert(id, flow_control.clone());
             let unsent = self.inbound.link_load().add(length);
@@ -168,6 +173,10 @@
                 }
             };
             let bytes = chunk.bytes.len();
+            let wait = self.inbound.link_load().pace(self.context.now(), bytes);
+            if wait > Micros(0) {
+                tokio::time::sleep(Duration::from_micros(wait.0 as u64)).await;
+            }
             flow_control.outstanding_bytes.set(flow_control.outstanding_bytes.get() + bytes);
             unsent.on_sent(bytes);
             let last = chunk.last;
