--- a/crates/data-plane/src/inbound.rs
+++ b/crates/data-plane/src/inbound.rs
@@ -1,7 +1,6 @@
 //! Requests for the backend of this machine: the instance that was meant, the key, the queue, the backend. What is refused here has not run
 //! and never will.
 use std::cell::{Cell, RefCell};
-use std::collections::HashMap;
 use std::rc::Rc;
 
 use notchspool::units::Micros;
@@ -9,10 +8,11 @@
 use notchspool_mesh_protocol::{Request, Response, Ticket, Verdict};
 use tokio::sync::oneshot;
 
-use crate::admission::{Candidate, Decision as AdmissionDecision, QueueTicket};
+use crate::admission::Candidate;
 use crate::backend_exchange::{BackendClient, BackendOutcome};
+use crate::backend_queue::{BackendQueue, Slot};
 use crate::claim_client::ClaimClient;
-use crate::context::{Context, within};
+use crate::context::Context;
 use crate::control_client::ControlClient;
 use crate::keyed_operation::{self, Decision, Operations};
 use crate::link_load::LinkLoad;
@@ -42,8 +42,8 @@
     control: Rc<ControlClient>,
     link_load: Rc<LinkLoad>,
     operations: RefCell<Operations>,
-    /// Requests that are queued for the backend. Whoever is let in is handed its slot.
-    queued: RefCell<HashMap<QueueTicket, oneshot::Sender<Slot>>>,
+    /// Requests that wait for a slot at the backend.
+    queue: Rc<BackendQueue>,
     /// Requests that the backend works on.
     running: Rc<RunningRequests>,
     /// Requests that were taken and have no response yet.
@@ -70,37 +70,6 @@
     }
 }
 
-/// A slot at the backend. There is one for each request that admission counts as in flight, made where it is admitted and given back by its
-/// drop, whoever holds it then: so the count can't go wrong.
-struct Slot {
-    inbound: Rc<Inbound>,
-    kind: u32,
-    /// How long the backend took, where it answered.
-    took: Option<Micros>,
-}
-
-impl Drop for Slot {
-    fn drop(&mut self) {
-        let next = self.inbound.backend.admission().release(self.inbound.context.now(), self.kind, self.took);
-        self.inbound.admit_queued(next);
-    }
-}
-
-/// A place in the queue, left whatever becomes of the request. Who was let in, displaced or sent away is not queued any more.
-struct QueuePlace {
-    inbound: Rc<Inbound>,
-    ticket: QueueTicket,
-}
-
-impl Drop for QueuePlace {
-    fn drop(&mut self) {
-        let is_queued = self.inbound.queued.borrow_mut().remove(&self.ticket).is_some();
-        if is_queued {
-            self.inbound.backend.admission().cancel(self.inbound.context.now(), self.ticket);
-        }
-    }
-}
-
 /// A request that came, and what its times mean by the clock here.
 struct Arrival {
     request: Request,
@@ -118,6 +87,16 @@
         let deadline = now + Micros::ms(i64::from(request.time_left_ms));
         Arrival { request, origin, deadline }
     }
+
+    fn candidate(&self) -> Candidate {
+        Candidate {
+            call_depth: self.origin.call_depth,
+            priority: self.origin.priority,
+            kind: self.request.latency_target_ms,
+            target_at: self.origin.target_at,
+            deadline: self.deadline,
+        }
+    }
 }
 
 /// A claim that is not yet known to have led to anything; withdrawn where the request is dropped before it began.
@@ -154,6 +133,7 @@
             let settings = context.settings();
             (settings.bounds.key_window, settings.memory_mb)
         };
+        let queue = Rc::new(BackendQueue::new(context.clone(), backend.clone()));
         let cache_mb = (memory_mb / RESPONSE_CACHE_MEMORY_PART).max(MIN_RESPONSE_CACHE_MB);
         let operations = Operations::new(key_window + EXTRA_KEY_WINDOW, cache_mb as usize * (1 << 20));
         Inbound {
@@ -164,7 +144,7 @@
             control,
             link_load,
             operations: RefCell::new(operations),
-            queued: RefCell::default(),
+            queue,
             running,
             serving: Cell::new(0),
             is_draining: Cell::new(false),
@@ -195,9 +175,7 @@
     /// From now on nothing more begins at the backend: what is queued and what comes is refused, and can go elsewhere at once.
     pub fn drain(&self) {
         self.is_draining.set(true);
-        let queued = self.queued.take();
-        let now = self.context.now();
-        queued.keys().for_each(|ticket| self.backend.admission().cancel(now, *ticket));
+        self.queue.clear();
     }
 
     /// Something happened to the backend; the replicas are told where it changes what others have to know.
@@ -231,8 +209,11 @@
                 Err(response) => return response.into(),
             }
         }
-        let entered = self.enter(&arrival).await;
-        // Much may have changed while this one was queued.
+        // Much may have changed while its key was claimed, and again while it was queued.
+        if let Some(refusal) = self.refusal(&arrival) {
+            return refusal.into();
+        }
+        let entered = self.queue.enter(arrival.candidate()).await;
         if let Some(refusal) = self.refusal(&arrival) {
             return refusal.into();
         }
@@ -380,63 +361,6 @@
         }
     }
 
-    // ---- The queue ----------------------------------------------------------------------------------------
-
-    /// Waits for a slot at the backend; or when to come back.
-    async fn enter(self: &Rc<Inbound>, arrival: &Arrival) -> Result<Slot, Micros> {
-        let now = self.context.now();
-        let (origin, deadline) = (arrival.origin, arrival.deadline);
-        let kind = arrival.request.latency_target_ms;
-        let candidate = Candidate {
-            call_depth: origin.call_depth,
-            priority: origin.priority,
-            kind,
-            target_at: origin.target_at,
-            deadline,
-        };
-        let admission = self.backend.admission().admit(now, candidate);
-        if let Some(displaced) = admission.displaced {
-            // Its wait ends without a slot, and it has none to give back.
-            drop(self.queued.borrow_mut().remove(&displaced));
-            self.context.count("displaced");
-        }
-        match admission.decision {
-            AdmissionDecision::Admitted => Ok(Slot { inbound: self.clone(), kind, took: None }),
-            AdmissionDecision::Rejected(retry_after) => Err(retry_after),
-            AdmissionDecision::Queued(ticket) => self.wait_in_queue(ticket, kind, deadline - now).await,
-        }
-    }
-
-    async fn wait_in_queue(
-        self: &Rc<Inbound>,
-        ticket: QueueTicket,
-        kind: u32,
-        timeout: Micros,
-    ) -> Result<Slot, Micros> {
-        let (admitted, wait) = oneshot::channel();
-        self.queued.borrow_mut().insert(ticket, admitted);
-        let _place = QueuePlace { inbound: self.clone(), ticket };
-        match within(timeout, wait).await {
-            Some(Ok(mut slot)) => {
-                slot.kind = kind;
-                Ok(slot)
-            }
-            _ => Err(Micros(0)),
-        }
-    }
-
-    /// Lets queued requests begin, as far as there is room.
-    fn admit_queued(self: &Rc<Inbound>, next: Option<QueueTicket>) {
-        let mut next = next;
-        while let Some(ticket) = next {
-            let slot = Slot { inbound: self.clone(), kind: 0, took: None };
-            let waiting = self.queued.borrow_mut().remove(&ticket);
-            // Where nobody waits any more the slot is given back here.
-            drop(waiting.map(|waiting| waiting.send(slot)));
-            next = self.backend.admission().admit_next(self.context.now());
-        }
-    }
-
     // ---- The backend --------------------------------------------------------------------------------------
 
     async fn run(self: Rc<Inbound>, mut slot: Slot, arrival: &Arrival) -> PeerResponse {
@@ -450,7 +374,7 @@
         let took = self.context.now() - started_at;
         match response.verdict() {
             Verdict::Answered => {
-                slot.took = Some(took);
+                slot.set_took(took);
                 response.backend_us = took.0.max(0) as u64;
             }
             Verdict::MayHaveRun => self.context.count("broke_off"),
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -9,7 +9,7 @@
 //! [`local_backend`], [`running_requests`], [`link_load`], [`replicas`] and [`claim_client`] (the control plane as it is known here).
 //!
 //! The way of a request: [`outbound`] (accept, route, pick, attempt, retry or answer), [`peer_connections`] to the proxy beside the backend,
-//! there [`peer_server`], [`inbound`] (admit) and [`backend_exchange`]. [`control_client`] carries the connections to the replicas,
+//! there [`peer_server`], [`inbound`] (admit, with [`backend_queue`]) and [`backend_exchange`]. [`control_client`] carries the connections to the replicas,
 //! [`local_api`] answers the platform and the backend, [`proxy`] puts the parts together, [`run`] is the process.
 #![warn(missing_docs, clippy::missing_errors_doc)]
 
@@ -19,6 +19,7 @@
 pub mod backend_connection;
 pub mod backend_exchange;
 pub mod backend_pool;
+pub mod backend_queue;
 pub mod body_pipe;
 pub mod claim_client;
 pub mod client_response;
