--- a/crates/data-plane/src/shutdown.rs
+++ b/crates/data-plane/src/shutdown.rs
@@ -20,7 +20,7 @@
 /// The platform still sends clients here for this long after a proxy says that it is not ready.
 pub const CLIENTS_SENT_FOR: Micros = Micros::ms(2_200);
 /// Kept clear of the end of the grace period, at which the process is killed.
-const GRACE_MARGIN: Micros = Micros::ms(400);
+const GRACE_MARGIN: Micros = Micros::ms(700);
 /// Other proxies that have nothing open close their connections within this.
 const PEERS_CLOSE_WITHIN: Micros = Micros::ms(500);
 
