--- a/crates/data-plane/src/attempts.rs
+++ b/crates/data-plane/src/attempts.rs
@@ -10,6 +10,8 @@
 const MIN_TIME_FOR_FENCE: Micros = Micros::ms(60);
 /// Proxies that may refuse one request before it is given up.
 pub const MAX_REFUSALS: u32 = 4;
+/// And where many requests are refused.
+pub const MAX_REFUSALS_CROWDED: u32 = 2;
 /// And a call: whoever made it can only fail without it, and does not come back.
 pub const MAX_CALL_REFUSALS: u32 = 10;
 /// When a refused client is to come back, where nobody told.
--- a/crates/data-plane/src/outbound.rs
+++ b/crates/data-plane/src/outbound.rs
@@ -14,7 +14,9 @@
 use notchspool_mesh_config::route_config::{Route, RouteConfig, RouteKind};
 use notchspool_mesh_protocol::{Header, Request as PeerRequest, Response as PeerReply, Ticket, Verdict};
 
-use crate::attempts::{Action, Attempts, Event, MAX_CALL_REFUSALS, MAX_REFUSALS, RetryPolicy};
+use crate::attempts::{
+    Action, Attempts, Event, MAX_CALL_REFUSALS, MAX_REFUSALS, MAX_REFUSALS_CROWDED, RetryPolicy,
+};
 use crate::claim_client::ClaimClient;
 use crate::client_response::{self, ClientResponse};
 use crate::config_store::ConfigStore;
@@ -46,6 +48,8 @@
 const RETRY_AFTER_SPREAD: Micros = Micros::ms(900);
 /// Refusals up to this part of all requests are taken for rare.
 const RARE_REFUSAL_PART: f64 = 0.02;
+/// Above this part of all requests refusals tell that there is no room anywhere.
+const CROWDED_REFUSAL_PART: f64 = 0.1;
 const REFUSAL_SMOOTHING: f64 = 0.03;
 
 /// Serves requests that begin on this machine.
@@ -315,16 +319,22 @@
         RetryPolicy {
             idempotent: delivery.route.kind.is_idempotent(),
             max_attempts: delivery.route.max_attempts,
-            max_refusals: if delivery.client.origin.call_depth > 0 {
-                MAX_CALL_REFUSALS
-            } else {
-                MAX_REFUSALS
-            },
+            max_refusals: self.max_refusals(delivery.client),
             deadline: delivery.client.deadline,
             ticket: is_keyed.then_some(ticket),
         }
     }
 
+    /// Proxies that may refuse a request before it is given up. Where many requests are refused the next one hardly has room either, and each
+    /// refusal takes the time of two proxies from those that are served.
+    fn max_refusals(&self, client: &ClientRequest) -> u32 {
+        match client.origin.call_depth {
+            0 if self.refused_part.get() > CROWDED_REFUSAL_PART => MAX_REFUSALS_CROWDED,
+            0 => MAX_REFUSALS,
+            _ => MAX_CALL_REFUSALS,
+        }
+    }
+
     /// A backend was picked, and the request is not sent there after all.
     fn release_unsent(&self, delivery: &Delivery<'_>, attempt: u32) {
         let (now, took) = (self.context.now(), Micros(0));
