--- a/crates/data-plane/src/admission.rs
+++ b/crates/data-plane/src/admission.rs
@@ -1,7 +1,7 @@
 //! What may begin at the backend of this machine, and in which order. No I/O.
 //!
-//! It has the last word: what it rejects has not run and never will. Invariants (`tests/admission.rs`): no more than the backend's slots and
-//! one are in flight; nothing is queued that would not be answered in time.
+//! It has the last word: what it rejects has not run and never will. Invariants (`tests/admission.rs`): new work takes no more than the
+//! backend's slots, calls two more; nothing is queued that would not be answered in time.
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
@@ -15,6 +15,8 @@
 /// A call may be queued for this part of its time: its caller holds a slot elsewhere for as long, and its work is lost where the call is
 /// refused.
 const MAX_CALL_WAIT_PART: f64 = 0.6;
+/// Calls that may be in flight beside as many requests as the backend has slots.
+const EXTRA_CALLS: usize = 2;
 /// What is left until the latency target, after so many times the usual work, may be waited for to this part: work is uneven.
 const WORK_MARGIN: f64 = 1.3;
 const TARGET_WAIT_PART: f64 = 0.4;
@@ -118,8 +120,13 @@
         self.slots = (slots as usize).clamp(1, MAX_SLOTS);
     }
 
-    fn has_room(&self) -> bool {
-        self.in_flight <= self.slots
+    /// New work has the backend's slots and no more: what is over them only stands in the backend's own queue, where nothing goes before it.
+    /// Calls have some over, so that they need not wait until a slot is given back here.
+    fn has_room(&self, call_depth: u32) -> bool {
+        match call_depth {
+            0 => self.in_flight < self.slots,
+            _ => self.in_flight < self.slots + EXTRA_CALLS,
+        }
     }
 
     fn update_utilisation(&mut self, now: Micros) {
@@ -132,7 +139,10 @@
     /// Decides on a request. Where too many are queued, the last in order makes way for one that goes before it.
     pub fn admit(&mut self, now: Micros, candidate: Candidate) -> Admission {
         self.update_utilisation(now);
-        if self.has_room() && self.queue.is_empty() {
+        // Nothing but deeper calls goes before a call, and they would have begun.
+        let is_first =
+            self.queue.first_key_value().is_none_or(|(first, _)| first.call_depth.0 < candidate.call_depth);
+        if is_first && self.has_room(candidate.call_depth) {
             self.in_flight += 1;
             return Admission { decision: Decision::Admitted, displaced: None };
         }
@@ -195,10 +205,11 @@
 
     /// The first of the queue that still has time begins, where there is room.
     pub fn admit_next(&mut self, now: Micros) -> Option<QueueTicket> {
-        if !self.has_room() {
+        self.queue.retain(|_, queued| queued.deadline > now);
+        let call_depth = self.queue.first_key_value()?.0.call_depth.0;
+        if !self.has_room(call_depth) {
             return None;
         }
-        self.queue.retain(|_, queued| queued.deadline > now);
         let (_, first) = self.queue.pop_first()?;
         self.in_flight += 1;
         Some(first.ticket)
