--- a/crates/proxy/tests/shutdown.rs
+++ b/crates/proxy/tests/shutdown.rs
@@ -15,6 +15,8 @@
 
 /// Whatever is waited for happens within this.
 const BOUND: Duration = Duration::from_secs(30);
+/// So large a response is streamed.
+const LARGE_BYTES: usize = 400_000;
 const SERVICE: &str = "orders";
 const INSTANCE: &str = "i-1";
 const HEARTBEAT: &str = r#"{"address":"IP:8301","details":{"service":"orders","version":"v1","zone":"a","freeSlots":SLOTS},
@@ -62,8 +64,10 @@
         return None;
     }
     drop(log);
+    let body = if path.ends_with("/large") { "x".repeat(LARGE_BYTES) } else { "ok".to_string() };
     let answer = format!(
-        "HTTP/1.1 200 OK\r\nnotchspool-attempt-id: {attempt_id}\r\nnotchspool-server-seal: seal\r\ncontent-length: 2\r\n\r\nok"
+        "HTTP/1.1 200 OK\r\nnotchspool-attempt-id: {attempt_id}\r\nnotchspool-server-seal: seal\r\ncontent-length: {}\r\n\r\n{body}",
+        body.len()
     );
     let mut writer = stream;
     writer.write_all(answer.as_bytes()).ok()
@@ -200,6 +204,15 @@
 
     /// Sends a request that takes so long; false where the connection has ended.
     fn send(&self, id: u64, work_ms: u64, priority: u32) -> bool {
+        self.send_to(id, format!("/{work_ms}/{id}"), priority, 15_000)
+    }
+
+    /// Sends a request whose response is large. Requests of one latency target are taken for one kind of work.
+    fn send_large(&self, id: u64) -> bool {
+        self.send_to(id, format!("/0/{id}/large"), 1, 9_000)
+    }
+
+    fn send_to(&self, id: u64, target: String, priority: u32, latency_target_ms: u32) -> bool {
         let attempt_id = format!("a-{id}");
         let header = Header { name: "notchspool-attempt-id".into(), value: attempt_id.clone().into() };
         self.sender.send(Payload::Request(Request {
@@ -208,7 +221,7 @@
             service: SERVICE.into(),
             instance: INSTANCE.into(),
             method: "GET".into(),
-            target: format!("/{work_ms}/{id}"),
+            target,
             time_left_ms: 20_000,
             priority,
             idempotent: true,
@@ -216,7 +229,7 @@
             caller: "shop".into(),
             host: "h.example".into(),
             target_left_ms: 15_000,
-            latency_target_ms: 15_000,
+            latency_target_ms,
             ..Request::default()
         }))
     }
@@ -308,3 +321,25 @@
         assert_eq!(log.lock().unwrap().cut_off, Vec::<String>::new());
     });
 }
+
+#[test]
+fn a_large_response_that_may_not_be_complete_before_the_end_is_not_begun() {
+    run(async {
+        let log = start_backend("127.77.3.4:8301");
+        let mut proxy = Proxy::start("127.77.3.4", 6);
+        let peer = Peer::connect(proxy.peer_address()).await;
+        // From the first one on it is known that responses of this kind are large.
+        assert!(peer.send_large(1));
+        peer.wait_for_responses(1).await;
+        proxy.terminate();
+        tokio::time::sleep(Duration::from_millis(300)).await;
+        // Both have twenty seconds, and the proxy has six.
+        assert!(peer.send_large(2) && peer.send(3, 0, 1));
+        peer.wait_for_responses(3).await;
+        assert_eq!(peer.ids(Verdict::NotRun), BTreeSet::from([2]), "refused, to go elsewhere at once");
+        assert_eq!(peer.ids(Verdict::Answered), BTreeSet::from([1, 3]));
+        peer.sender.finish();
+        proxy.wait_for_end();
+        assert_eq!(log.lock().unwrap().begun, 2);
+    });
+}
