--- a/crates/data-plane/src/inbound.rs
+++ b/crates/data-plane/src/inbound.rs
@@ -19,6 +19,7 @@
 use crate::local_backend::{LocalBackend, Unavailable};
 use crate::peer_link::{PeerResponse, without_answer};
 use crate::running_requests::{Origin, RunningRequests};
+use crate::shutdown::{KnownEnd, Need};
 
 /// The part of its latency target for which a large response may find the link at work.
 const MAX_BACKLOG_PART: f64 = 0.5;
@@ -50,8 +51,8 @@
     serving: Cell<usize>,
     /// This proxy ends: nothing more begins at the backend here.
     is_draining: Cell<bool>,
-    /// When this proxy ends, once that is known.
-    ends_at: Cell<Option<Micros>>,
+    /// The end of this proxy, once it is known.
+    end: Cell<Option<KnownEnd>>,
 }
 
 /// Counts a request from its arrival to its response.
@@ -148,7 +149,7 @@
             running,
             serving: Cell::new(0),
             is_draining: Cell::new(false),
-            ends_at: Cell::new(None),
+            end: Cell::new(None),
         }
     }
 
@@ -167,9 +168,9 @@
         self.serving.get() > 0 || self.running.count() > 0 || self.link_load.unsent_bytes() > 0
     }
 
-    /// This proxy ends at that time: what must not be repeated begins only where it is answered before, whatever its work takes.
-    pub fn set_end(&self, ends_at: Micros) {
-        self.ends_at.set(Some(ends_at));
+    /// This proxy ends: what must not be cut off begins only where it is over before, whatever its work takes.
+    pub fn set_end(&self, end: KnownEnd) {
+        self.end.set(Some(end));
     }
 
     /// From now on nothing more begins at the backend: what is queued and what comes is refused, and can go elsewhere at once.
@@ -253,8 +254,10 @@
         if let Some(Unavailable { verdict, reason }) = unavailable {
             return Some(self.with_load(without_answer(request.id, verdict, reason)));
         }
-        let may_be_cut = |ends_at| !request.idempotent && arrival.deadline > ends_at;
-        if self.is_draining.get() || self.ends_at.get().is_some_and(may_be_cut) {
+        let is_large = self.link_load.is_large(request.latency_target_ms);
+        let need = Need { deadline: arrival.deadline, must_be_complete: is_large || !request.idempotent };
+        let is_cut = self.end.get().is_some_and(|end| !end.allows(need));
+        if self.is_draining.get() || is_cut {
             self.context.count("refused_at_end");
             return Some(self.refused(request.id, "the proxy here ends", Micros(0)));
         }
--- a/crates/data-plane/src/link_load.rs
+++ b/crates/data-plane/src/link_load.rs
@@ -61,6 +61,11 @@
         }
     }
 
+    /// Whether responses of this kind are large.
+    pub fn is_large(&self, kind: u32) -> bool {
+        self.usual_bytes_of(kind) >= 1.0
+    }
+
     fn usual_bytes_of(&self, kind: u32) -> f64 {
         self.usual_bytes.borrow().get(&kind).copied().unwrap_or(0.0)
     }
--- a/crates/data-plane/src/outbound.rs
+++ b/crates/data-plane/src/outbound.rs
@@ -28,6 +28,7 @@
 use crate::running_requests::{Origin, RunningRequests};
 use crate::service_balancer::{AttemptEnd, BalancerAction};
 use crate::services::Services;
+use crate::shutdown::{KnownEnd, Need};
 use crate::stall_detector::LONG_STALL;
 
 /// A client that names no time waits for this.
@@ -61,8 +62,8 @@
     peers: Rc<PeerConnections>,
     running: Rc<RunningRequests>,
     in_flight: Cell<usize>,
-    /// This proxy ends: what can't be answered for certain by then is refused.
-    ends_at: Cell<Option<Micros>>,
+    /// The end of this proxy, once it is known.
+    end: Cell<Option<KnownEnd>>,
     /// The part of requests that were refused lately, smoothed.
     refused_part: Cell<f64>,
 }
@@ -143,14 +144,14 @@
             peers,
             running,
             in_flight: Cell::new(0),
-            ends_at: Cell::new(None),
+            end: Cell::new(None),
             refused_part: Cell::new(0.0),
         }
     }
 
-    /// This proxy ends at that time, and clients are not sent here any more: from now on a request is taken only where its time ends before.
-    pub fn set_end(&self, ends_at: Micros) {
-        self.ends_at.set(Some(ends_at));
+    /// This proxy ends: what may not be answered completely before is refused.
+    pub fn set_end(&self, end: KnownEnd) {
+        self.end.set(Some(end));
     }
 
     /// Requests that are served now.
@@ -198,7 +199,9 @@
         };
         let time_left = head.time_left().min(route.timeout);
         let deadline = if age >= LONG_STALL { received_at } else { now } + time_left;
-        if self.ends_at.get().is_some_and(|ends_at| deadline > ends_at) {
+        // What must not be repeated is refused beside its backend, where it is known whether it ran.
+        let need = Need { deadline, must_be_complete: route.kind == RouteKind::Download };
+        if self.end.get().is_some_and(|end| !end.allows(need)) {
             self.context.count("refused_at_end");
             return Err(client_response::refused("the proxy here ends", ENDING_RETRY_AFTER));
         }
--- a/crates/data-plane/src/run.rs
+++ b/crates/data-plane/src/run.rs
@@ -22,7 +22,7 @@
 use crate::local_api::LocalApi;
 use crate::outbound::Outbound;
 use crate::proxy::Proxy;
-use crate::shutdown::{CLIENTS_SENT_FOR, InFlight, Phase, Shutdown};
+use crate::shutdown::{InFlight, Phase, Shutdown};
 
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 /// Clients' connections at most.
@@ -222,10 +222,8 @@
     grace: Micros,
 ) {
     let context = &proxy.context;
-    let started_at = context.now();
-    let mut shutdown = Shutdown::new(started_at, grace);
+    let mut shutdown = Shutdown::new(context.now(), grace);
     proxy.api.is_stopping.set(true);
-    proxy.inbound.set_end(shutdown.ends_at());
     log::info!(target: "proxy", "ends on SIGTERM, {} requests in hand", proxy.outbound.in_flight());
     while shutdown.phase() != Phase::Ended {
         let now = context.now();
@@ -234,9 +232,10 @@
             clients: proxy.outbound.in_flight() + *outbound.open.borrow(),
             peers: proxy.peers.accepted(),
         };
-        if now >= started_at + CLIENTS_SENT_FOR {
-            proxy.outbound.set_end(shutdown.ends_at());
-        }
+        let end = shutdown.known_end(now);
+        proxy.outbound.set_end(end);
+        // Other proxies have heard nothing yet, and choose another backend at once where this one refuses.
+        proxy.inbound.set_end(end);
         match shutdown.apply(now, in_flight) {
             Some(phase) => enter_phase(proxy, phase, close_outbound),
             None => tokio::time::sleep(EXIT_POLL_INTERVAL).await,
--- a/crates/data-plane/src/shutdown.rs
+++ b/crates/data-plane/src/shutdown.rs
@@ -24,6 +24,32 @@
 /// Other proxies that have nothing open close their connections within this.
 const PEERS_CLOSE_WITHIN: Micros = Micros::ms(500);
 
+/// The end of a proxy, for those that take requests meanwhile.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct KnownEnd {
+    /// What is not answered by then is cut off.
+    pub at: Micros,
+    /// Clients are still sent here by the platform.
+    pub clients_are_sent: bool,
+}
+
+/// What a request needs to be answered.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Need {
+    /// Until when it may take.
+    pub deadline: Micros,
+    /// It can't be cut off without harm: its response is large, and would break off in the middle, or it must not be repeated.
+    pub must_be_complete: bool,
+}
+
+impl KnownEnd {
+    /// Whether a request may begin. What is certain to be over before the end may; what is not only while clients are sent here, who would
+    /// be refused otherwise, and if it is likely to be over soon and does little harm where it is not.
+    pub fn allows(&self, need: Need) -> bool {
+        need.deadline <= self.at || (self.clients_are_sent && !need.must_be_complete)
+    }
+}
+
 /// How far the end has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
@@ -67,16 +93,16 @@
         Shutdown { phase: Phase::Leaving, started_at: now, ends_at, idle_since: None }
     }
 
+    /// The end, as those that take requests have to know it.
+    pub fn known_end(&self, now: Micros) -> KnownEnd {
+        KnownEnd { at: self.ends_at, clients_are_sent: now < self.started_at + CLIENTS_SENT_FOR }
+    }
+
     /// How far it has come.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// What is not answered by then is cut off.
-    pub fn ends_at(&self) -> Micros {
-        self.ends_at
-    }
-
     /// Time has passed, and this is in flight now. The phase that is entered, if so; one at a time.
     pub fn apply(&mut self, now: Micros, in_flight: InFlight) -> Option<Phase> {
         let next = self.next_phase(now, in_flight)?;
--- a/crates/data-plane/tests/shutdown.rs
+++ b/crates/data-plane/tests/shutdown.rs
@@ -1,6 +1,6 @@
 //! The order in which a proxy ends, whatever is in flight meanwhile.
 use notchspool::units::Micros;
-use notchspool_data_plane::shutdown::{CLIENTS_SENT_FOR, InFlight, Phase, Shutdown};
+use notchspool_data_plane::shutdown::{CLIENTS_SENT_FOR, InFlight, KnownEnd, Need, Phase, Shutdown};
 use oorandom::Rand64;
 
 const GRACE: Micros = Micros::ms(6_000);
@@ -89,3 +89,28 @@
         );
     }
 }
+
+#[test]
+fn what_may_be_cut_off_is_taken_only_while_clients_come_and_where_it_does_little_harm() {
+    let shutdown = Shutdown::new(Micros::ms(1_000), GRACE);
+    let end = |at| shutdown.known_end(Micros::ms(at));
+    assert_eq!(end(1_000), KnownEnd { at: Micros::ms(6_300), clients_are_sent: true });
+    assert!(end(3_199).clients_are_sent && !end(3_200).clients_are_sent);
+    let need = |deadline, must_be_complete| Need { deadline: Micros::ms(deadline), must_be_complete };
+    // (asked at, deadline, must be complete): taken
+    let rows = [
+        (1_000, 6_300, true, true),
+        (1_000, 6_301, true, false),
+        (1_000, 6_301, false, true),
+        (3_200, 6_301, false, false),
+        (3_200, 6_300, false, true),
+        (6_000, 6_300, true, true),
+    ];
+    for (at, deadline, must_be_complete, taken) in rows {
+        assert_eq!(
+            end(at).allows(need(deadline, must_be_complete)),
+            taken,
+            "{at} {deadline} {must_be_complete}"
+        );
+    }
+}
