--- a/crates/proxy/tests/soak.rs
+++ b/crates/proxy/tests/soak.rs
@@ -276,7 +276,7 @@
 }
 
 fn play(seed: u64) {
-    let load = if seed % 2 == 0 { LIGHT } else { CROWDED };
+    let load = if seed.is_multiple_of(2) { LIGHT } else { CROWDED };
     let net = 100 + seed % 100;
     let data = std::env::temp_dir().join(format!("notchspool-soak-{seed}-{}", std::process::id()));
     let replica_ip = format!("127.78.{net}.250");
